--- a/src/backend/connection/answers.rs
+++ b/src/backend/connection/answers.rs
@@ -89,7 +89,7 @@
 
 fn end_load_order(order: LoadOrderId, message: &ResponseMessage, context: &mut Context) {
     let result = LoadResult {
-        status: message.response.status(),
+        status: message.response.load_status(),
         instances: message.instances.unwrap_or(0),
     };
     context.scheduler.load_order_ended(context.now, order, Ok(result));
--- a/src/backend/jsonrpc_codec.rs
+++ b/src/backend/jsonrpc_codec.rs
@@ -195,7 +195,7 @@
         .ok_or(DecodeErrorKind::MissingErrorCode)?;
     let worker_response = match code {
         error_code::MISS => WorkerResponse::Miss,
-        error_code::FULL => WorkerResponse::Full,
+        error_code::FULL => WorkerResponse::AtCapacity,
         error_code::EXPIRED => WorkerResponse::Expired,
         _ => WorkerResponse::Error,
     };
--- a/src/backend/node_agent_codec.rs
+++ b/src/backend/node_agent_codec.rs
@@ -182,7 +182,7 @@
     let response = match verb {
         AnswerVerb::Ok => WorkerResponse::Ok(decode_content(answer)?),
         AnswerVerb::Miss => WorkerResponse::Miss,
-        AnswerVerb::Full => WorkerResponse::Full,
+        AnswerVerb::Full => WorkerResponse::AtCapacity,
         AnswerVerb::Error | AnswerVerb::Dead => WorkerResponse::Error,
         AnswerVerb::Expired => WorkerResponse::Expired,
         AnswerVerb::Alive => return Ok(WorkerMessage::Alive { correlation_id }),
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -7,7 +7,7 @@
 use super::jsonrpc_codec::JsonRpcCodec;
 use super::limits::Limits;
 use super::node_agent_codec::NodeAgentCodec;
-use crate::model::{Time, WorkerId};
+use crate::model::{ConnectionId, Time, WorkerId};
 use crate::net::{ConnectionFlow, Reactor};
 use crate::scheduler::{AttemptError, AttemptId, Command, FailureCause, Scheduler, WriteProgress};
 use std::cell::Cell;
@@ -30,12 +30,12 @@
 struct Target {
     address: WorkerAddress,
     started_at: Option<Time>,
-    connections: Vec<u64>,
+    connections: Vec<ConnectionId>,
 }
 
 /// A connection that a command could take.
 struct Candidate {
-    connection: u64,
+    connection: ConnectionId,
     attempts_in_flight: usize,
 }
 
@@ -43,7 +43,7 @@
 pub struct Pool {
     targets: BTreeMap<WorkerId, Target>,
     /// The connection of every attempt in flight, and of some that have ended.
-    routes: HashMap<AttemptId, u64>,
+    routes: HashMap<AttemptId, ConnectionId>,
     node_agent_codec: Rc<dyn Codec>,
     jsonrpc_codec: Rc<dyn Codec>,
     /// Shared with all connections.
@@ -166,7 +166,7 @@
         correlation_id: Option<&str>,
         reactor: &mut Reactor,
         scheduler: &mut Scheduler,
-    ) -> Option<u64> {
+    ) -> Option<ConnectionId> {
         let max_spread = self.max_spread();
         let descriptors_left = self.has_descriptors_left(reactor);
         let target = self.targets.get_mut(&worker)?;
@@ -221,7 +221,12 @@
     }
 
     /// Begins to establish a new connection to a worker.
-    fn connect(&mut self, worker: WorkerId, reactor: &mut Reactor, scheduler: &mut Scheduler) -> Option<u64> {
+    fn connect(
+        &mut self,
+        worker: WorkerId,
+        reactor: &mut Reactor,
+        scheduler: &mut Scheduler,
+    ) -> Option<ConnectionId> {
         let target = self.targets.get_mut(&worker)?;
         let (stream, codec) = match &target.address {
             WorkerAddress::NodeAgent(address) => (reactor.connect(*address), &self.node_agent_codec),
@@ -269,7 +274,7 @@
 
 /// Hands a command to a connection. A cancellation for one that has closed is dropped: what was open has
 /// ended.
-fn submit_to(connection: u64, job: Job, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+fn submit_to(connection: ConnectionId, job: Job, reactor: &mut Reactor, scheduler: &mut Scheduler) {
     reactor.with_connection_of(
         connection,
         scheduler,
--- a/src/backend/tests/jsonrpc_codec.rs
+++ b/src/backend/tests/jsonrpc_codec.rs
@@ -110,7 +110,7 @@
             ),
             (
                 r#"{"jsonrpc":"2.0","id":"a","error":{"code":-32011,"data":{"copies":1}}}"#,
-                response("a", WorkerResponse::Full, Some(1)),
+                response("a", WorkerResponse::AtCapacity, Some(1)),
             ),
             (
                 r#"{"jsonrpc":"2.0","id":"a","error":{"code":-32012}}"#,
--- a/src/backend/tests/node_agent_codec.rs
+++ b/src/backend/tests/node_agent_codec.rs
@@ -35,7 +35,7 @@
             ),
             (
                 r#"{"verb":"503","rid":"l","attrs":{"replicas":1}}"#,
-                response("l", WorkerResponse::Full, Some(1)),
+                response("l", WorkerResponse::AtCapacity, Some(1)),
             ),
             (
                 r#"{"verb":"404","rid":"a"}"#,
--- a/src/bin/function-scheduler-sim/codec/codes.rs
+++ b/src/bin/function-scheduler-sim/codec/codes.rs
@@ -1,7 +1,9 @@
 //! The numbers of the wire: one table for the event records, one for the action records, and one for each
 //! coded field.
 
-use function_scheduler::{Action, EndpointState, EndpointUpdateKind, InstanceState, Status};
+use function_scheduler::{
+    Action, AttemptStatus, EndpointState, EndpointUpdateKind, HealthCheckStatus, InstanceState, LoadStatus,
+};
 
 /// Declares the event records: for each its code, its name on the wire page, and its variant.
 macro_rules! event_codes {
@@ -105,26 +107,57 @@
 }
 
 field_codes! {
-    /// `status` of `ANSWER`, `PROBE_RESULT` and `STANDS`.
-    Status "status" {
+    /// `status` of `ANSWER`.
+    AttemptStatus "status" {
         0 => Ok,
         1 => Cancelled,
         4 => Timeout,
         5 => Miss,
-        8 => Full,
-        9 => Moot,
+        8 => AtCapacity,
+        9 => Expired,
         10 => Reset,
         13 => Error,
         14 => ConnectFailed,
     }
 }
 
+field_codes! {
+    /// `status` of `STANDS`. The page gives load orders neither 1 (cancelled) nor 5 (miss): either counts as an order
+    /// that got no answer.
+    LoadStatus "status" {
+        0 => Ok,
+        1 => Timeout,
+        4 => Timeout,
+        5 => Timeout,
+        8 => AtCapacity,
+        9 => NotSent,
+        10 => Reset,
+        13 => Error,
+        14 => ConnectFailed,
+    }
+}
+
+field_codes! {
+    /// `status` of `PROBE_RESULT`: 0, or the reason why the worker did not answer that it is alive.
+    HealthCheckStatus "status" {
+        0 => Alive,
+        1 => Failed,
+        4 => Timeout,
+        5 => Failed,
+        8 => Failed,
+        9 => Failed,
+        10 => Failed,
+        13 => Failed,
+        14 => Failed,
+    }
+}
+
 field_codes! {
     /// `how` of `SYNC`.
     EndpointUpdateKind "list kind" {
         0 => Delta,
-        1 => Full,
-        2 => Cached,
+        1 => Snapshot,
+        2 => CachedSnapshot,
         3 => Failed,
     }
 }
--- a/src/bin/function-scheduler-sim/codec/records.rs
+++ b/src/bin/function-scheduler-sim/codec/records.rs
@@ -242,7 +242,7 @@
     let _latency = fields.u64()?;
     let status = fields.code()?;
     let worker = fields.worker()?;
-    Ok(Event::HealthCheckFinished(worker, status))
+    Ok(Event::HealthCheckFinished { worker, status })
 }
 
 fn load_finished(fields: &mut FieldCursor) -> Result<Event, WireError> {
--- a/src/bin/function-scheduler-sim/host.rs
+++ b/src/bin/function-scheduler-sim/host.rs
@@ -32,7 +32,7 @@
             }
             Record::EndpointUpdate { instance, kind, list } => {
                 let endpoints = self.endpoints(kind, list);
-                self.deliver(now, instance, Event::EndpointsUpdated(kind, endpoints), reply);
+                self.deliver(now, instance, Event::EndpointsUpdated { kind, endpoints }, reply);
             }
             Record::Event { instance, event } => self.deliver(now, instance, event, reply),
             Record::Ignored => {}
--- a/src/client.rs
+++ b/src/client.rs
@@ -51,7 +51,9 @@
 //! ```
 
 use crate::backend::{Limits, Pool, WorkerAddress};
-use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, Site, Time, WorkerId};
+use crate::model::{
+    ConnectionId, Endpoint, EndpointState, EndpointUpdateKind, Site, StreamId, Time, WorkerId,
+};
 use crate::net::{Reactor, SystemClock};
 use crate::scheduler::{
     ClientRequest, Command, Counters, RequestOrigin, RequestParameters, Response, Scheduler,
@@ -61,7 +63,7 @@
 /// Most connections to workers that a client opens.
 const MAX_CONNECTIONS: usize = 256;
 /// All requests of the embedding program count as coming from one connection.
-const CONNECTION: u64 = 0;
+const CONNECTION: ConnectionId = ConnectionId(0);
 
 /// A request that was submitted; unique within its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -123,7 +125,7 @@
         self.update_addresses(&workers);
         let endpoints = workers.into_iter().map(|worker| worker.endpoint).collect();
         self.scheduler
-            .update_endpoints(self.reactor.now(), EndpointUpdateKind::Full, endpoints);
+            .update_endpoints(self.reactor.now(), EndpointUpdateKind::Snapshot, endpoints);
         self.run_commands();
     }
 
@@ -194,7 +196,7 @@
         while let Some(command) = self.scheduler.next_command() {
             match command {
                 Command::Respond { origin, response } => {
-                    let request = SubmittedRequestId(origin.stream);
+                    let request = SubmittedRequestId(origin.stream.0);
                     self.completed.push(CompletedRequest { request, response });
                 }
                 command => self.pool.command(command, &mut self.reactor, &mut self.scheduler),
@@ -213,7 +215,7 @@
 fn origin(request: SubmittedRequestId) -> RequestOrigin {
     RequestOrigin {
         connection: CONNECTION,
-        stream: request.0,
+        stream: StreamId(request.0),
     }
 }
 
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -63,7 +63,7 @@
     /// forgotten; of one that has started anew nothing is known.
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>, now: Time) {
         self.hash_orders.clear();
-        if matches!(kind, EndpointUpdateKind::Full | EndpointUpdateKind::Cached) {
+        if kind.is_complete() {
             let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             self.workers.retain(|id, _| listed.contains(id));
         }
--- a/src/cluster/request.rs
+++ b/src/cluster/request.rs
@@ -1,8 +1,8 @@
 //! Requests and their attempts.
 
 use crate::model::{
-    Action, AttemptOutcome, Endpoint, FunctionId, IncomingRequest, InstanceState, RequestId, Span, Status,
-    Time, WorkerId,
+    Action, AttemptOutcome, AttemptStatus, Endpoint, FunctionId, IncomingRequest, InstanceState, RequestId,
+    Span, Time, WorkerId,
 };
 
 /// A request that is owed its final answer.
@@ -130,12 +130,12 @@
     }
 
     /// An attempt has ended that did not serve the request.
-    pub(crate) fn end_attempt(&mut self, attempt: Attempt, status: Status) {
+    pub(crate) fn end_attempt(&mut self, attempt: Attempt, status: AttemptStatus) {
         self.in_flight = None;
         if !status.never_ran() {
             self.first_run.get_or_insert(attempt);
         }
-        if status == Status::NotSent {
+        if status == AttemptStatus::NotSent {
             self.unsent += 1;
             self.unsent_in_row += 1;
         } else {
--- a/src/cluster/tests.rs
+++ b/src/cluster/tests.rs
@@ -3,8 +3,8 @@
 use super::{Attempt, Cluster, Instance, Request};
 use crate::collections::ExponentialBackoff;
 use crate::model::{
-    Action, AttemptOutcome, CellId, ClassId, Endpoint, EndpointState, EndpointUpdateKind, FunctionId,
-    IncomingRequest, InstanceState, KindId, RequestId, Span, Status, TenantId, Time, WorkerId, ZoneId,
+    Action, AttemptOutcome, AttemptStatus, CellId, ClassId, Endpoint, EndpointState, EndpointUpdateKind,
+    FunctionId, IncomingRequest, InstanceState, KindId, RequestId, Span, TenantId, Time, WorkerId, ZoneId,
 };
 use crate::stats::DecayingAverage;
 
@@ -43,7 +43,7 @@
         ..Cluster::default()
     };
     cluster.update_endpoints(
-        EndpointUpdateKind::Full,
+        EndpointUpdateKind::Snapshot,
         (1..=3).map(endpoint).collect(),
         Time(10),
     );
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_complete_list_removes_what_it_leaves_out_and_a_partial_one_does_not() {
-    for kind in [EndpointUpdateKind::Full, EndpointUpdateKind::Cached] {
+    for kind in [EndpointUpdateKind::Snapshot, EndpointUpdateKind::CachedSnapshot] {
         let mut cluster = cluster();
         cluster.update_endpoints(kind, vec![endpoint(2)], Time(20));
         assert_eq!(workers(&cluster), [2]);
@@ -143,11 +143,11 @@
     };
     assert_eq!(request.begin_attempt(), 0);
     assert!(!request.never_ran(), "it may run now");
-    request.end_attempt(attempt(Time(10)), Status::Miss);
+    request.end_attempt(attempt(Time(10)), AttemptStatus::Miss);
     assert!(request.never_ran());
     for sent_at in [Time(20), Time(30)] {
         request.begin_attempt();
-        request.end_attempt(attempt(sent_at), Status::Error);
+        request.end_attempt(attempt(sent_at), AttemptStatus::Error);
     }
     assert_eq!((request.attempts(), request.in_flight()), (3, None));
     assert_eq!(request.first_run().map(|attempt| attempt.sent_at), Some(Time(20)));
@@ -185,7 +185,7 @@
     );
     assert_eq!(worker.awaited_loads(Time(20)), 1);
     assert!(
-        worker.end_attempt(&attempt, Status::Timeout, None, Time(30)),
+        worker.end_attempt(&attempt, AttemptStatus::Timeout, None, Time(30)),
         "nothing was heard"
     );
     assert_eq!(
@@ -193,9 +193,9 @@
         (0, 0)
     );
     assert_eq!(worker.health.liveness.last_heard(), Time(0));
-    worker.end_attempt(&attempt, Status::Miss, Some(5.0), Time(40));
+    worker.end_attempt(&attempt, AttemptStatus::Miss, Some(5.0), Time(40));
     assert!(
-        !worker.end_attempt(&attempt, Status::Timeout, None, Time(50)),
+        !worker.end_attempt(&attempt, AttemptStatus::Timeout, None, Time(50)),
         "it was heard at 40"
     );
     assert_eq!(worker.health.liveness.last_heard(), Time(40));
@@ -217,7 +217,7 @@
     let outcome = |instance_state| AttemptOutcome {
         id: RequestId(1),
         attempt: 0,
-        status: Status::Ok,
+        status: AttemptStatus::Ok,
         latency: SECOND,
         request_finished: true,
         instance_state,
--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -2,7 +2,7 @@
 
 use super::{Attempt, Instance};
 use crate::collections::{AimdLimit, BackoffTimer, BurstCounter, Liveness};
-use crate::model::{Endpoint, FunctionId, Status, Time};
+use crate::model::{AttemptStatus, Endpoint, FunctionId, Time};
 use crate::stats::{DecayingAverage, LoadEstimate, ThresholdDetector};
 use std::collections::BTreeMap;
 
@@ -95,7 +95,7 @@
     pub(crate) fn end_attempt(
         &mut self,
         attempt: &Attempt,
-        status: Status,
+        status: AttemptStatus,
         held: Option<f64>,
         now: Time,
     ) -> bool {
--- a/src/config/scheduler_file.rs
+++ b/src/config/scheduler_file.rs
@@ -87,7 +87,7 @@
     Ok(WatchEvent {
         offset: event.offset,
         kind: if list.is_full {
-            EndpointUpdateKind::Full
+            EndpointUpdateKind::Snapshot
         } else {
             EndpointUpdateKind::Delta
         },
--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -118,7 +118,7 @@
 fn decode_body(header: &[u8; HEADER_LENGTH], records: &[u8]) -> Result<Frame, DecodeError> {
     let kind = match header[frame_field::KIND] {
         frame_kind::HEARTBEAT => return Ok(Frame::Heartbeat),
-        frame_kind::FULL_LIST => EndpointUpdateKind::Full,
+        frame_kind::FULL_LIST => EndpointUpdateKind::Snapshot,
         frame_kind::DELTA => EndpointUpdateKind::Delta,
         _ => return Err(DecodeError::UnknownFrameKind),
     };
--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -81,7 +81,7 @@
         if self.configured.is_empty() {
             return None;
         }
-        let mut change = EndpointChange::new(EndpointUpdateKind::Full);
+        let mut change = EndpointChange::new(EndpointUpdateKind::Snapshot);
         change.endpoints.extend(&self.configured);
         Some(change)
     }
@@ -111,13 +111,13 @@
     /// configured ones; a delta changes the workers that it names.
     pub(crate) fn apply_watch_event(&mut self, event: WatchEvent) -> EndpointChange {
         let mut change = EndpointChange::new(event.kind);
-        if event.kind == EndpointUpdateKind::Full {
+        if event.kind == EndpointUpdateKind::Snapshot {
             self.remove_unlisted(&event.endpoints, &mut change);
         }
         for record in event.endpoints {
             self.apply_record(record, &mut change);
         }
-        if event.kind == EndpointUpdateKind::Full {
+        if event.kind == EndpointUpdateKind::Snapshot {
             change.endpoints.extend(&self.configured);
         }
         change
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -16,7 +16,7 @@
 pub use event::{EndpointRecord, WatchEvent, started_at};
 
 use crate::collections::ExponentialBackoff;
-use crate::model::{Endpoint, EndpointUpdateKind, Span, Time};
+use crate::model::{ConnectionId, Endpoint, EndpointUpdateKind, Span, Time};
 use crate::net::{BufferLimits, CloseCause, Reactor};
 use crate::scheduler::Scheduler;
 use codec::{LENGTH_FIELD_LENGTH, MAX_FRAME_LENGTH};
@@ -47,7 +47,7 @@
     /// When to begin the next connection, once that is known.
     reconnect_at: Option<Time>,
     /// The last connection that was begun; it may have ended.
-    connection: Option<u64>,
+    connection: Option<ConnectionId>,
 }
 
 impl Discovery {
@@ -120,7 +120,7 @@
         let mut queue = self.queue.borrow_mut();
         for event in known {
             let is_next = queue.last_offset.checked_add(1) == Some(event.offset);
-            let applies = event.kind == EndpointUpdateKind::Full || is_next;
+            let applies = event.kind == EndpointUpdateKind::Snapshot || is_next;
             if event.offset > queue.last_offset && applies {
                 queue.push(event);
             }
@@ -175,7 +175,7 @@
         now: Time,
         reactor: &mut Reactor,
         scheduler: &mut Scheduler,
-    ) -> Option<u64> {
+    ) -> Option<ConnectionId> {
         let stream = match reactor.connect(address) {
             Ok(stream) => stream,
             Err(error) => {
--- a/src/discovery/tests/codec.rs
+++ b/src/discovery/tests/codec.rs
@@ -82,7 +82,7 @@
     let Frame::Event(event) = decoded.frame else {
         panic!("a heartbeat in place of an event");
     };
-    assert_eq!(event.kind, EndpointUpdateKind::Full);
+    assert_eq!(event.kind, EndpointUpdateKind::Snapshot);
     assert!(event.endpoints.is_empty());
 }
 
--- a/src/discovery/tests/endpoint_list.rs
+++ b/src/discovery/tests/endpoint_list.rs
@@ -35,7 +35,7 @@
     list.apply_watch_event(full_list(1, vec![record(first, 81), record(second, 82)]));
     let change = list.apply_watch_event(full_list(2, vec![record(second, 82)]));
     let expected = EndpointChange {
-        kind: EndpointUpdateKind::Full,
+        kind: EndpointUpdateKind::Snapshot,
         endpoints: vec![second],
         address_changes: vec![removed(1), assigned(second, 82)],
     };
@@ -142,7 +142,7 @@
 fn configured_workers_are_the_whole_list_at_the_start() {
     let configured = endpoint(7, EndpointState::Ready);
     let expected = EndpointChange {
-        kind: EndpointUpdateKind::Full,
+        kind: EndpointUpdateKind::Snapshot,
         endpoints: vec![configured],
         address_changes: vec![],
     };
--- a/src/discovery/tests/watch.rs
+++ b/src/discovery/tests/watch.rs
@@ -4,7 +4,7 @@
 use crate::config::parse_site;
 use crate::discovery::Discovery;
 use crate::discovery::watch_connection::{WatchConnection, WatchQueue};
-use crate::model::{EndpointState, Span, Time};
+use crate::model::{ConnectionId, EndpointState, Span, Time};
 use crate::net::{Connection, Reactor, SystemClock};
 use crate::scheduler::Scheduler;
 use std::cell::RefCell;
@@ -74,7 +74,7 @@
         panic!("the connection has ended");
     }
 
-    fn connection(&self) -> u64 {
+    fn connection(&self) -> ConnectionId {
         self.discovery.connection.expect("a connection was begun")
     }
 
--- a/src/frontend/frame_codec/tests.rs
+++ b/src/frontend/frame_codec/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::frontend::limits::MAX_BODY_BYTES;
-use crate::model::{FunctionId, Span, Time};
+use crate::model::{ConnectionId, FunctionId, Span, StreamId, Time};
 use crate::scheduler::{Outcome, RequestOrigin};
 
 const ORIGIN: RequestOrigin = RequestOrigin {
-    connection: 1,
-    stream: 1,
+    connection: ConnectionId(1),
+    stream: StreamId(1),
 };
 
 #[test]
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -7,7 +7,7 @@
 use super::lifecycle::{ConnectionTimers, PartialMessage, cancel_requests, end_requests};
 use super::limits::{MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES};
 use super::stream_ids::UsedStreamIds;
-use crate::model::{Span, Time};
+use crate::model::{Span, StreamId, Time};
 use crate::net::{
     BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
 };
@@ -203,7 +203,7 @@
 
     fn handle_cancel(&mut self, stream: u32, socket: &BufferedStream, context: &mut Context) {
         if self.open_streams.remove(&stream) {
-            cancel_requests([u64::from(stream)], socket, context);
+            cancel_requests([stream_id(stream)], socket, context);
         }
     }
 
@@ -239,9 +239,9 @@
     }
 
     /// The open streams, which are none from now on.
-    fn take_open_streams(&mut self) -> BTreeSet<u64> {
+    fn take_open_streams(&mut self) -> BTreeSet<StreamId> {
         let streams = std::mem::take(&mut self.open_streams);
-        streams.into_iter().map(u64::from).collect()
+        streams.into_iter().map(stream_id).collect()
     }
 
     /// Sets the deadline of a frame that has begun.
@@ -282,10 +282,20 @@
 fn request_origin(socket: &BufferedStream, stream: u32) -> RequestOrigin {
     RequestOrigin {
         connection: socket.id(),
-        stream: u64::from(stream),
+        stream: stream_id(stream),
     }
 }
 
+/// A stream of this protocol as the scheduler knows it.
+fn stream_id(stream: u32) -> StreamId {
+    StreamId(u64::from(stream))
+}
+
+/// A stream of one of this connection's requests as it is numbered in frames, where it came as 32 bits.
+fn frame_stream(stream: StreamId) -> u32 {
+    stream.0 as u32
+}
+
 /// Responds to a request that is not passed to the scheduler.
 fn respond_locally(stream: u32, outcome: &Outcome, socket: &mut BufferedStream, context: &mut Context) {
     context.scheduler.count_local_rejection(outcome);
@@ -352,12 +362,12 @@
 impl ClientConnection for FrameConnection {
     fn deliver(
         &mut self,
-        stream: u64,
+        stream: StreamId,
         response: &Response,
         socket: &mut BufferedStream,
         context: &mut Context,
     ) -> ConnectionFlow {
-        let stream = stream as u32;
+        let stream = frame_stream(stream);
         // A client that has cancelled its request is owed nothing.
         if self.open_streams.remove(&stream) {
             socket.enqueue(&encode_response(stream, &response.outcome));
@@ -369,8 +379,7 @@
     fn abandon(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         let streams = self.take_open_streams();
         for stream in &streams {
-            // A stream's number came as 32 bits.
-            socket.enqueue(&encode_response(*stream as u32, &Outcome::Failed));
+            socket.enqueue(&encode_response(frame_stream(*stream), &Outcome::Failed));
         }
         context.scheduler.counters().failed_with_connection += streams.len() as u64;
         cancel_requests(streams, socket, context);
--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -9,7 +9,7 @@
 };
 use super::lifecycle::{ConnectionTimers, PartialMessage, cancel_requests, end_requests};
 use super::limits::{MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES};
-use crate::model::{Span, Time};
+use crate::model::{Span, StreamId, Time};
 use crate::net::{
     BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
 };
@@ -21,10 +21,14 @@
 const IDLE_TIMEOUT: Span = Span::from_millis(60_000);
 const LINE_FEED: u8 = b'\n';
 
+/// A batch of requests on this connection.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct BatchId(u64);
+
 struct OpenCall {
     id: Value,
     /// The batch that the call came in.
-    batch: Option<u64>,
+    batch: Option<BatchId>,
 }
 
 /// A batch of which some responses are still to come.
@@ -35,9 +39,9 @@
 
 /// A client's connection that speaks JSON-RPC.
 pub struct JsonRpcConnection {
-    /// Calls by the number under which the scheduler knows them on this connection.
-    open_calls: BTreeMap<u64, OpenCall>,
-    open_batches: BTreeMap<u64, OpenBatch>,
+    /// Calls by the streams under which the scheduler knows them.
+    open_calls: BTreeMap<StreamId, OpenCall>,
+    open_batches: BTreeMap<BatchId, OpenBatch>,
     /// The number of the next call or batch.
     next_number: u64,
     line_limit: usize,
@@ -123,24 +127,24 @@
     }
 
     fn handle_batch(&mut self, requests: Vec<Request>, socket: &mut BufferedStream, context: &mut Context) {
-        let number = self.take_number();
+        let id = BatchId(self.take_number());
         // One more is missing until all requests have been handled, as some are answered while they are.
         let missing = 1 + requests.iter().filter(|request| request.has_response()).count();
         let batch = OpenBatch {
             missing,
             responses: Vec::new(),
         };
-        self.open_batches.insert(number, batch);
+        self.open_batches.insert(id, batch);
         for request in requests {
-            self.handle_request(request, Some(number), socket, context);
+            self.handle_request(request, Some(id), socket, context);
         }
-        self.complete_batch_part(number, socket);
+        self.complete_batch_part(id, socket);
     }
 
     fn handle_request(
         &mut self,
         request: Request,
-        batch: Option<u64>,
+        batch: Option<BatchId>,
         socket: &mut BufferedStream,
         context: &mut Context,
     ) {
@@ -160,11 +164,11 @@
     }
 
     fn handle_cancel(&mut self, id: &Value, socket: &mut BufferedStream, context: &mut Context) {
-        let Some(number) = self.open_call_number(id) else {
+        let Some(stream) = self.open_call_stream(id) else {
             return;
         };
-        cancel_requests([number], socket, context);
-        if let Some(call) = self.open_calls.remove(&number) {
+        cancel_requests([stream], socket, context);
+        if let Some(call) = self.open_calls.remove(&stream) {
             self.respond(call.batch, encode_cancelled(&call.id), socket);
         }
     }
@@ -173,12 +177,12 @@
         &mut self,
         id: Value,
         params: CallParams,
-        batch: Option<u64>,
+        batch: Option<BatchId>,
         socket: &mut BufferedStream,
         context: &mut Context,
     ) {
         // Neither the client nor a cancel could tell two open calls of one id apart.
-        if self.open_call_number(&id).is_some() {
+        if self.open_call_stream(&id).is_some() {
             return self.respond(batch, encode_error(&id, RequestError::IdInUse), socket);
         }
         if self.open_calls.len() >= MAX_OPEN_REQUESTS || !context.active {
@@ -186,7 +190,7 @@
         }
         let origin = RequestOrigin {
             connection: socket.id(),
-            stream: self.take_number(),
+            stream: StreamId(self.take_number()),
         };
         self.open_calls.insert(origin.stream, OpenCall { id, batch });
         let correlation_id = params.correlation_id.clone();
@@ -202,7 +206,7 @@
     fn reject_call(
         &mut self,
         id: &Value,
-        batch: Option<u64>,
+        batch: Option<BatchId>,
         socket: &mut BufferedStream,
         context: &mut Context,
     ) {
@@ -216,9 +220,9 @@
         self.respond(batch, encode_response(id, &response), socket);
     }
 
-    fn open_call_number(&self, id: &Value) -> Option<u64> {
+    fn open_call_stream(&self, id: &Value) -> Option<StreamId> {
         let call = self.open_calls.iter().find(|(_, call)| call.id == *id);
-        call.map(|(number, _)| *number)
+        call.map(|(stream, _)| *stream)
     }
 
     fn take_number(&mut self) -> u64 {
@@ -228,26 +232,26 @@
     }
 
     /// Writes a response, or keeps it until its batch is complete.
-    fn respond(&mut self, batch: Option<u64>, response: Value, socket: &mut BufferedStream) {
-        let Some(number) = batch else {
+    fn respond(&mut self, batch: Option<BatchId>, response: Value, socket: &mut BufferedStream) {
+        let Some(id) = batch else {
             return enqueue_line(&response, socket);
         };
-        if let Some(batch) = self.open_batches.get_mut(&number) {
+        if let Some(batch) = self.open_batches.get_mut(&id) {
             batch.responses.push(response);
-            self.complete_batch_part(number, socket);
+            self.complete_batch_part(id, socket);
         }
     }
 
     /// One response fewer is missing in a batch; all of them are written once none is.
-    fn complete_batch_part(&mut self, number: u64, socket: &mut BufferedStream) {
-        let Some(batch) = self.open_batches.get_mut(&number) else {
+    fn complete_batch_part(&mut self, id: BatchId, socket: &mut BufferedStream) {
+        let Some(batch) = self.open_batches.get_mut(&id) else {
             return;
         };
         batch.missing -= 1;
         if batch.missing > 0 {
             return;
         }
-        if let Some(batch) = self.open_batches.remove(&number)
+        if let Some(batch) = self.open_batches.remove(&id)
             && !batch.responses.is_empty()
         {
             enqueue_line(&Value::Array(batch.responses), socket);
@@ -277,7 +281,7 @@
 
 /// An id for a request whose client has given it none.
 fn generated_correlation_id(origin: RequestOrigin) -> String {
-    format!("{:08x}{:08x}", origin.connection as u32, origin.stream as u32)
+    format!("{:08x}{:08x}", origin.connection.0 as u32, origin.stream.0 as u32)
 }
 
 fn enqueue_line(response: &Value, socket: &mut BufferedStream) {
@@ -347,7 +351,7 @@
 impl ClientConnection for JsonRpcConnection {
     fn deliver(
         &mut self,
-        stream: u64,
+        stream: StreamId,
         response: &Response,
         socket: &mut BufferedStream,
         context: &mut Context,
--- a/src/frontend/lifecycle.rs
+++ b/src/frontend/lifecycle.rs
@@ -1,7 +1,7 @@
 //! When a client's connection ends: timers and the cancellation of open requests, alike for both protocols.
 
 use super::limits::{LINGER_TIMEOUT, MESSAGE_TIMEOUT};
-use crate::model::{Span, Time};
+use crate::model::{Span, StreamId, Time};
 use crate::net::{BufferedStream, CloseCause, Context};
 use crate::scheduler::{RequestOrigin, Violation};
 use std::collections::BTreeSet;
@@ -105,7 +105,7 @@
 /// Ends the requests that are open on a connection which is closed. If it is not the client that has ended it, they
 /// should have had their responses before.
 pub(super) fn end_requests(
-    streams: BTreeSet<u64>,
+    streams: BTreeSet<StreamId>,
     cause: CloseCause,
     socket: &BufferedStream,
     context: &mut Context,
@@ -123,7 +123,7 @@
 
 /// Cancels requests of a connection whose client no longer waits for them.
 pub(super) fn cancel_requests(
-    streams: impl IntoIterator<Item = u64>,
+    streams: impl IntoIterator<Item = StreamId>,
     socket: &BufferedStream,
     context: &mut Context,
 ) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -76,7 +76,8 @@
 //!     started_at: None,
 //!     kind: KindId(0),
 //! };
-//! policy.handle(Time(0), Event::EndpointsUpdated(EndpointUpdateKind::Full, vec![endpoint]), &mut actions);
+//! let update = Event::EndpointsUpdated { kind: EndpointUpdateKind::Snapshot, endpoints: vec![endpoint] };
+//! policy.handle(Time(0), update, &mut actions);
 //! actions.clear();
 //! let request = IncomingRequest {
 //!     id: RequestId(1),
@@ -109,6 +110,11 @@
 mod stats;
 pub mod vrrp;
 
-// The model's types, as its own page lists them.
-pub use model::*;
+pub use model::{
+    Action, AttemptOutcome, AttemptStatus, CellId, ClassId, ConnectionId, DeduplicationScope, DiscoveryMode,
+    Endpoint, EndpointState, EndpointUpdateKind, Event, FunctionId, HealthCheckStatus, Idempotency,
+    IncomingRequest, InstanceState, KindId, LoadMetric, LoadOutcome, LoadRateLimit, LoadStatus,
+    LoadingSettings, OnMiss, Permissions, Prices, RequestClass, RequestId, SafetyLimits, Settings, Site,
+    Span, StreamId, Tenant, TenantId, Time, WorkerId, ZoneId,
+};
 pub use policy::Policy;
--- a/src/model/endpoints.rs
+++ b/src/model/endpoints.rs
@@ -42,15 +42,25 @@
     }
 }
 
-/// How an update relates to the endpoint list that is held.
+/// How an update relates to the endpoint list that the scheduler holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
     /// Only the entries that have changed.
     Delta,
     /// The complete list.
-    Full,
-    /// The complete list as last held, which may be out of date.
-    Cached,
+    Snapshot,
+    /// The complete list as discovery last held it, which may be out of date.
+    CachedSnapshot,
     /// Discovery has failed; the list that is held stays valid.
     Failed,
 }
+
+impl EndpointUpdateKind {
+    /// Whether the update has the complete list, so that a worker that it leaves out is gone.
+    pub fn is_complete(self) -> bool {
+        matches!(
+            self,
+            EndpointUpdateKind::Snapshot | EndpointUpdateKind::CachedSnapshot
+        )
+    }
+}
--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -1,4 +1,6 @@
-//! Identifiers of workers, functions, requests, classes, tenants and places.
+//! Identifiers of workers, functions, requests, classes, tenants, places and connections.
+
+use std::fmt;
 
 /// Defines identifiers as newtypes over integers.
 macro_rules! id {
@@ -28,4 +30,21 @@
     /// [`LoadingSettings::worker_memory_mb`](super::LoadingSettings::worker_memory_mb) and in
     /// [`Site::kinds`](super::Site::kinds).
     KindId(u8);
+    /// A connection, to a client or to a worker; never used twice in a process.
+    ConnectionId(u64);
+    /// A request on its client's connection, as the frontend numbers it; never used twice on a connection.
+    StreamId(u64);
 }
+
+/// Lets these identifiers stand in the log as plain numbers.
+macro_rules! display_as_number {
+    ($($name:ident),*) => {$(
+        impl fmt::Display for $name {
+            fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+                self.0.fmt(formatter)
+            }
+        }
+    )*};
+}
+
+display_as_number!(RequestId, ConnectionId, StreamId);
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -5,6 +5,7 @@
 mod endpoints;
 mod events;
 mod ids;
+mod outcomes;
 mod settings;
 mod site;
 #[cfg(test)]
@@ -13,8 +14,13 @@
 
 pub use actions::Action;
 pub use endpoints::{Endpoint, EndpointState, EndpointUpdateKind};
-pub use events::{AttemptOutcome, Event, IncomingRequest, InstanceState, LoadOutcome, Status};
-pub use ids::{CellId, ClassId, FunctionId, KindId, RequestId, TenantId, WorkerId, ZoneId};
+pub use events::{Event, IncomingRequest};
+pub use ids::{
+    CellId, ClassId, ConnectionId, FunctionId, KindId, RequestId, StreamId, TenantId, WorkerId, ZoneId,
+};
+pub use outcomes::{
+    AttemptOutcome, AttemptStatus, HealthCheckStatus, InstanceState, LoadOutcome, LoadStatus,
+};
 pub use settings::{
     DeduplicationScope, DiscoveryMode, Idempotency, LoadMetric, LoadRateLimit, LoadingSettings, OnMiss,
     Permissions, Prices, RequestClass, SafetyLimits, Settings, Tenant,
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -151,7 +151,7 @@
 pub enum OnMiss {
     /// It loads the function while the request waits.
     Load,
-    /// It answers [`Status::Miss`](super::Status::Miss); only a load order loads the function.
+    /// It answers [`AttemptStatus::Miss`](super::AttemptStatus::Miss); only a load order loads the function.
     Miss,
 }
 
--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -1,8 +1,8 @@
 //! What the rules of a site say, as the model's types tell it.
 
 use super::{
-    Action, CellId, DeduplicationScope, Endpoint, EndpointState, FunctionId, Idempotency, SafetyLimits, Span,
-    Status, Time, WorkerId, ZoneId,
+    Action, AttemptStatus, CellId, DeduplicationScope, Endpoint, EndpointState, FunctionId, Idempotency,
+    SafetyLimits, Span, Time, WorkerId, ZoneId,
 };
 
 fn keyed(scope: DeduplicationScope) -> Idempotency {
@@ -90,11 +90,11 @@
 
 #[test]
 fn a_response_is_what_the_worker_itself_has_answered() {
-    use Status::*;
-    for status in [Ok, Error, Full, Miss] {
+    use AttemptStatus::*;
+    for status in [Ok, Error, AtCapacity, Miss] {
         assert!(status.is_response(), "{status:?}");
     }
-    for status in [Timeout, ConnectFailed, Reset, Cancelled, Moot] {
+    for status in [Timeout, ConnectFailed, Reset, Cancelled, Expired, NotSent] {
         assert!(!status.is_response(), "{status:?}");
     }
 }
--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -1,6 +1,7 @@
 //! A stream with an input and an output buffer, registered with the system for what it waits for.
 
 use super::Stream;
+use crate::model::ConnectionId;
 use mio::{Interest, Registry, Token};
 use std::io;
 
@@ -58,8 +59,8 @@
     }
 
     /// The connection's id.
-    pub fn id(&self) -> u64 {
-        self.token.0 as u64
+    pub fn id(&self) -> ConnectionId {
+        ConnectionId(self.token.0 as u64)
     }
 
     /// Whether the stream is connected, as opposed to still connecting.
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,7 +1,7 @@
 //! What the reactor asks of a connection, and what a connection may use while it is called back.
 
 use super::BufferedStream;
-use crate::model::Time;
+use crate::model::{StreamId, Time};
 use crate::scheduler::{Response, Scheduler};
 use std::any::Any;
 use std::io;
@@ -129,7 +129,7 @@
     /// Sends the response to the request of this stream.
     fn deliver(
         &mut self,
-        stream: u64,
+        stream: StreamId,
         response: &Response,
         socket: &mut BufferedStream,
         context: &mut Context,
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -3,7 +3,7 @@
 use super::Reactor;
 use super::entry::Entry;
 use super::token::EventSource;
-use crate::model::{Span, Time};
+use crate::model::{ConnectionId, Span, Time};
 use crate::net::{
     BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context, Stream,
 };
@@ -24,7 +24,7 @@
         connection: Box<dyn Connection>,
         limits: BufferLimits,
         scheduler: &mut Scheduler,
-    ) -> Option<u64> {
+    ) -> Option<ConnectionId> {
         let id = self.insert(stream, connection, true, limits);
         self.call(id, scheduler, |entry, context| {
             entry.connection.opened(&mut entry.stream, context)
@@ -33,13 +33,13 @@
     }
 
     /// Reads what is there on a connection, which may have waited since this time.
-    pub fn read_waiting_input(&mut self, id: u64, since: Time, scheduler: &mut Scheduler) {
+    pub fn read_waiting_input(&mut self, id: ConnectionId, since: Time, scheduler: &mut Scheduler) {
         self.set_input_since(id, Some(since));
         self.call(id, scheduler, |entry, context| entry.handle_event(true, context));
         self.set_input_since(id, None);
     }
 
-    fn set_input_since(&mut self, id: u64, since: Option<Time>) {
+    fn set_input_since(&mut self, id: ConnectionId, since: Option<Time>) {
         if let Some(entry) = self.connections.get_mut(&id) {
             entry.input_since = since;
         }
@@ -52,7 +52,7 @@
         connection: Box<dyn Connection>,
         limits: BufferLimits,
         scheduler: &mut Scheduler,
-    ) -> Option<u64> {
+    ) -> Option<ConnectionId> {
         let id = self.insert(stream, connection, false, limits);
         self.call(id, scheduler, |_, _| ConnectionFlow::Continue);
         self.has_connection(id).then_some(id)
@@ -64,9 +64,9 @@
         connection: Box<dyn Connection>,
         connected: bool,
         limits: BufferLimits,
-    ) -> u64 {
+    ) -> ConnectionId {
         let id = self.next_connection;
-        self.next_connection += 1;
+        self.next_connection = ConnectionId(id.0 + 1);
         let token = EventSource::Connection(id).token();
         let stream = BufferedStream::new(stream, token, connected, limits);
         let entry = Entry::new(stream, connection);
@@ -86,22 +86,22 @@
     }
 
     /// The ids of all connections, in no order.
-    pub fn connection_ids(&self) -> Vec<u64> {
+    pub fn connection_ids(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
 
     /// Whether a connection is open or being opened.
-    pub fn has_connection(&self, id: u64) -> bool {
+    pub fn has_connection(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
     /// Since when a connection has been idle; see [`Connection::idle_since`].
-    pub fn idle_since(&self, id: u64) -> Option<Time> {
+    pub fn idle_since(&self, id: ConnectionId) -> Option<Time> {
         self.connections.get(&id)?.idle_since()
     }
 
     /// The connection of this id, if it was added as a `C` and is not closed.
-    pub fn connection<C: Connection>(&self, id: u64) -> Option<&C> {
+    pub fn connection<C: Connection>(&self, id: ConnectionId) -> Option<&C> {
         let connection: &dyn Any = self.connections.get(&id)?.connection.as_ref();
         connection.downcast_ref()
     }
@@ -109,7 +109,7 @@
     /// Calls a connection, as the reactor itself does with an event; false if it is closed.
     pub fn with_connection(
         &mut self,
-        id: u64,
+        id: ConnectionId,
         scheduler: &mut Scheduler,
         callback: impl FnOnce(&mut dyn Connection, &mut BufferedStream, &mut Context) -> ConnectionFlow,
     ) -> bool {
@@ -124,7 +124,7 @@
     /// type.
     pub fn with_connection_of<C: Connection>(
         &mut self,
-        id: u64,
+        id: ConnectionId,
         scheduler: &mut Scheduler,
         callback: impl FnOnce(&mut C, &mut BufferedStream, &mut Context) -> ConnectionFlow,
     ) -> bool {
@@ -144,7 +144,7 @@
     /// another.
     pub fn with_client(
         &mut self,
-        id: u64,
+        id: ConnectionId,
         scheduler: &mut Scheduler,
         callback: impl FnOnce(&mut dyn ClientConnection, &mut BufferedStream, &mut Context) -> ConnectionFlow,
     ) -> bool {
@@ -160,7 +160,7 @@
     }
 
     /// Closes a connection for this cause.
-    pub fn close_connection(&mut self, id: u64, cause: CloseCause, scheduler: &mut Scheduler) {
+    pub fn close_connection(&mut self, id: ConnectionId, cause: CloseCause, scheduler: &mut Scheduler) {
         if let Some(entry) = self.connections.get_mut(&id) {
             entry.set_close_cause(cause);
         }
@@ -168,7 +168,7 @@
     }
 
     /// Drops a connection, whose entry knows the cause.
-    fn remove_connection(&mut self, id: u64, scheduler: &mut Scheduler) {
+    fn remove_connection(&mut self, id: ConnectionId, scheduler: &mut Scheduler) {
         let Some(mut entry) = self.connections.remove(&id) else {
             return;
         };
@@ -201,14 +201,14 @@
     ) -> bool {
         let candidates = self.connections.iter().filter(|(_, entry)| may_close(entry));
         let idle = candidates.filter_map(|(id, entry)| Some((entry.idle_since()?, *id)));
-        let mut idle: Vec<(Time, u64)> = idle.collect();
+        let mut idle: Vec<(Time, ConnectionId)> = idle.collect();
         idle.sort_unstable();
         idle.into_iter().any(|(_, id)| self.close_if_idle(id, scheduler))
     }
 
     /// Closes a connection to free its descriptor, unless something has come on it that no poll has reported yet;
     /// whether it is closed.
-    pub fn close_if_idle(&mut self, id: u64, scheduler: &mut Scheduler) -> bool {
+    pub fn close_if_idle(&mut self, id: ConnectionId, scheduler: &mut Scheduler) -> bool {
         self.call(id, scheduler, |entry, context| entry.handle_event(true, context));
         let is_busy = |entry: &Entry| entry.idle_since().is_none();
         if self.connections.get(&id).is_some_and(is_busy) {
@@ -238,7 +238,7 @@
     /// Calls a connection back, and closes it or sets its timer as it wants.
     pub(super) fn call(
         &mut self,
-        id: u64,
+        id: ConnectionId,
         scheduler: &mut Scheduler,
         callback: impl FnOnce(&mut Entry, &mut Context) -> ConnectionFlow,
     ) {
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -15,7 +15,7 @@
 
 use super::{Stream, SystemClock};
 use crate::collections::TimerQueue;
-use crate::model::{Span, Time};
+use crate::model::{ConnectionId, Span, Time};
 use crate::scheduler::Scheduler;
 use entry::Entry;
 use listeners::Listeners;
@@ -68,12 +68,12 @@
     listeners: Listeners,
     pipes: Pipes,
     udp_sockets: UdpSockets,
-    connections: HashMap<u64, Entry>,
+    connections: HashMap<ConnectionId, Entry>,
     /// How many of the connections have a client at the other end.
     clients: usize,
-    next_connection: u64,
+    next_connection: ConnectionId,
     /// At most one timer for each connection, by its id.
-    timers: TimerQueue<u64>,
+    timers: TimerQueue<ConnectionId>,
     last_poll_was_empty: bool,
     /// When the last poll returned: it has reported all input that had come until then.
     polled_at: Time,
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::model::StreamId;
 use crate::net::{
     BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
 };
@@ -83,7 +84,13 @@
 }
 
 impl ClientConnection for PanickingClient {
-    fn deliver(&mut self, _: u64, _: &Response, _: &mut BufferedStream, _: &mut Context) -> ConnectionFlow {
+    fn deliver(
+        &mut self,
+        _: StreamId,
+        _: &Response,
+        _: &mut BufferedStream,
+        _: &mut Context,
+    ) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
@@ -103,7 +110,7 @@
     reactor: &mut Reactor,
     limits: BufferLimits,
     scheduler: &mut Scheduler,
-) -> (u64, UnixStream) {
+) -> (ConnectionId, UnixStream) {
     let (near, far) = UnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let stream = Stream::Unix(mio::net::UnixStream::from_std(near));
@@ -111,7 +118,11 @@
     (id.unwrap(), far)
 }
 
-fn add_echo(reactor: &mut Reactor, limits: BufferLimits, scheduler: &mut Scheduler) -> (u64, UnixStream) {
+fn add_echo(
+    reactor: &mut Reactor,
+    limits: BufferLimits,
+    scheduler: &mut Scheduler,
+) -> (ConnectionId, UnixStream) {
     add(PanickingEcho, reactor, limits, scheduler)
 }
 
@@ -212,7 +223,7 @@
         EventSource::UdpSocket(UdpSocketId(0)),
         EventSource::UdpSocket(UdpSocketId(511)),
         EventSource::Connection(token::FIRST_CONNECTION),
-        EventSource::Connection(1 << 40),
+        EventSource::Connection(ConnectionId(1 << 40)),
     ];
     for source in sources {
         assert_eq!(EventSource::from_token(source.token()), source);
--- a/src/net/reactor/token.rs
+++ b/src/net/reactor/token.rs
@@ -1,6 +1,7 @@
 //! Which source of events a poll token stands for.
 
 use super::{ListenerId, PipeId, UdpSocketId};
+use crate::model::ConnectionId;
 use mio::Token;
 
 /// First token of the pipes; the listeners' tokens are below it.
@@ -8,7 +9,7 @@
 /// First token of the UDP sockets.
 const FIRST_UDP_SOCKET: usize = 1 << 9;
 /// First token of the connections, whose ids are their tokens. None is used twice.
-pub(super) const FIRST_CONNECTION: u64 = 1 << 10;
+pub(super) const FIRST_CONNECTION: ConnectionId = ConnectionId(1 << 10);
 
 /// A source of events. Each kind has a range of tokens of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +17,7 @@
     Listener(ListenerId),
     Pipe(PipeId),
     UdpSocket(UdpSocketId),
-    Connection(u64),
+    Connection(ConnectionId),
 }
 
 impl EventSource {
@@ -26,10 +27,10 @@
             EventSource::Listener(ListenerId(number))
         } else if number < FIRST_UDP_SOCKET {
             EventSource::Pipe(PipeId(number - FIRST_PIPE))
-        } else if (number as u64) < FIRST_CONNECTION {
+        } else if (number as u64) < FIRST_CONNECTION.0 {
             EventSource::UdpSocket(UdpSocketId(number - FIRST_UDP_SOCKET))
         } else {
-            EventSource::Connection(number as u64)
+            EventSource::Connection(ConnectionId(number as u64))
         }
     }
 
@@ -38,7 +39,7 @@
             EventSource::Listener(ListenerId(index)) => Token(index),
             EventSource::Pipe(PipeId(index)) => Token(FIRST_PIPE + index),
             EventSource::UdpSocket(UdpSocketId(index)) => Token(FIRST_UDP_SOCKET + index),
-            EventSource::Connection(id) => Token(id as usize),
+            EventSource::Connection(ConnectionId(id)) => Token(id as usize),
         }
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -36,9 +36,9 @@
     let objective = attempt.latency_objective.as_secs_f64().max(MIN_SECONDS);
     let part = (outcome.latency.as_secs_f64() / objective).min(1.0);
     match outcome.status {
-        Status::Ok if attempt.expected_warm => Some(part),
-        Status::Full if attempt.expected_warm && outcome.attempt == 0 => Some(1.0),
-        Status::Timeout => Some(1.0),
+        AttemptStatus::Ok if attempt.expected_warm => Some(part),
+        AttemptStatus::AtCapacity if attempt.expected_warm && outcome.attempt == 0 => Some(1.0),
+        AttemptStatus::Timeout => Some(1.0),
         _ => None,
     }
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -47,33 +47,37 @@
         self.expire_instances();
     }
 
-    fn record_status(&mut self, status: Status, attempt: &Attempt, is_silent: bool, now: Time) {
+    fn record_status(&mut self, status: AttemptStatus, attempt: &Attempt, is_silent: bool, now: Time) {
         let is_saturated = attempt.expected_warm && self.saturation.value() >= WORKER_SATURATION;
         match status {
-            Status::Miss => self.instance_mut(attempt.function).miss(now),
-            Status::Full if is_saturated => {
+            AttemptStatus::Miss => self.instance_mut(attempt.function).miss(now),
+            AttemptStatus::AtCapacity if is_saturated => {
                 self.health.ejection.extend_until(now + REJECTION_PAUSE);
                 self.concurrency_limit.decrease(now, &CONCURRENCY_LIMIT);
             }
             // No memory for an instance, or too many loads, also where one was unloaded unnoticed.
-            Status::Full => {
+            AttemptStatus::AtCapacity => {
                 self.load_backoff_until = now + REJECTION_PAUSE;
                 self.instance_mut(attempt.function).expire();
             }
-            Status::ConnectFailed => self.eject(now),
+            AttemptStatus::ConnectFailed => self.eject(now),
             // One connection may break by itself; a dead process shows at the next attempt, which is refused.
-            Status::Reset => {
+            AttemptStatus::Reset => {
                 if self.health.resets.record(now, RESET_BURST, MAX_RESETS) {
                     self.eject(now);
                 }
             }
             // A machine that is cut off breaks no connection, but stays silent for the full objective.
-            Status::Timeout | Status::Cancelled if is_silent => self.eject(now),
-            Status::Timeout => {
+            AttemptStatus::Timeout | AttemptStatus::Cancelled if is_silent => self.eject(now),
+            AttemptStatus::Timeout => {
                 self.load.raise_latency(TIMEOUT_FACTOR, &LATENCY_RATIO);
                 self.concurrency_limit.decrease(now, &CONCURRENCY_LIMIT);
             }
-            Status::Ok | Status::Error | Status::Cancelled | Status::Moot | Status::NotSent => {}
+            AttemptStatus::Ok
+            | AttemptStatus::Error
+            | AttemptStatus::Cancelled
+            | AttemptStatus::Expired
+            | AttemptStatus::NotSent => {}
         }
     }
 }
@@ -93,15 +97,20 @@
             worker.instance_mut(attempt.function).fail_load(now, BACKOFF);
         }
         // What fails at once looks idle and draws ever more. Where none was loaded, a load may have failed.
-        let is_served = attempt.expected_warm && matches!(outcome.status, Status::Ok | Status::Error);
-        let error = if outcome.status == Status::Error { 1.0 } else { 0.0 };
+        let is_served =
+            attempt.expected_warm && matches!(outcome.status, AttemptStatus::Ok | AttemptStatus::Error);
+        let error = if outcome.status == AttemptStatus::Error {
+            1.0
+        } else {
+            0.0
+        };
         if is_served && worker.health.error_rate.record(error, &ERROR_RATE) {
             worker.health.ejection.extend(now, BACKOFF);
         }
         worker.record_status(outcome.status, attempt, is_silent, now);
         let used = objective_used(attempt, outcome).unwrap_or(self.saturation.value());
         self.saturation.update(used, SATURATION_WEIGHT);
-        if outcome.status == Status::Ok {
+        if outcome.status == AttemptStatus::Ok {
             self.learn_from_success(outcome, attempt, used);
         }
     }
@@ -141,10 +150,13 @@
     }
 
     /// Takes in the end of a health check; a worker that answers none is lost.
-    pub(super) fn health_check_finished(&mut self, id: WorkerId, status: Status) {
+    pub(super) fn health_check_finished(&mut self, id: WorkerId, status: HealthCheckStatus) {
         let worker = self.cluster.workers.get_mut(&id);
         let Some(worker) = worker else { return };
-        let unanswered = worker.health.liveness.end_check(status == Status::Ok, self.now);
+        let unanswered = worker
+            .health
+            .liveness
+            .end_check(status == HealthCheckStatus::Alive, self.now);
         if unanswered >= MAX_UNANSWERED_CHECKS {
             worker.health.liveness.heard(self.now);
             worker.eject(self.now);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -87,13 +87,18 @@
             self.subscribe();
         }
         match event {
-            Event::EndpointsUpdated(EndpointUpdateKind::Failed, _) => self.subscribe(),
-            Event::EndpointsUpdated(kind, list) => self.cluster.update_endpoints(kind, list, self.now),
+            Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Failed,
+                ..
+            } => self.subscribe(),
+            Event::EndpointsUpdated { kind, endpoints } => {
+                self.cluster.update_endpoints(kind, endpoints, self.now);
+            }
             Event::RequestReceived(request) => self.request_received(request),
             Event::AttemptFinished(outcome) => self.attempt_finished(outcome),
             Event::ClientDisconnected(id) => self.client_disconnected(id),
             Event::LoadFinished(load) => self.load_finished(load),
-            Event::HealthCheckFinished(worker, status) => self.health_check_finished(worker, status),
+            Event::HealthCheckFinished { worker, status } => self.health_check_finished(worker, status),
             Event::TimerFired => self.timers.woken_up(),
         }
         while let Some(timer) = self.timers.pop_expired(self.now) {
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -79,7 +79,7 @@
             worker.load_finished(&load, self.now, self.settings.loading.keep_alive);
         }
         for id in self.cluster.requests_awaiting(load.function) {
-            if load.status == Status::Ok {
+            if load.status == LoadStatus::Ok {
                 let request = self.cluster.requests.entry(id);
                 request.and_modify(|r| r.failed_workers.retain(|w| *w != load.worker));
             }
@@ -90,7 +90,7 @@
 
 impl Worker {
     fn load_finished(&mut self, load: &LoadOutcome, now: Time, keep_alive: Span) {
-        if matches!(load.status, Status::Ok | Status::Full | Status::Error) {
+        if load.status.is_response() {
             self.health.liveness.heard(now);
         }
         let instance = self.instance_mut(load.function);
@@ -98,10 +98,10 @@
             return;
         }
         match load.status {
-            Status::Ok => instance.confirm(now + keep_alive),
-            Status::ConnectFailed => self.eject(now),
+            LoadStatus::Ok => instance.confirm(now + keep_alive),
+            LoadStatus::ConnectFailed => self.eject(now),
             // Its connection broke, or it was never sent: that says nothing of the load.
-            Status::Reset | Status::Moot => {}
+            LoadStatus::Reset | LoadStatus::NotSent => {}
             _ => {
                 instance.fail_load(now, BACKOFF);
                 if load.instances == 0 {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -45,17 +45,20 @@
         let Some(request) = request else { return };
         request.end_attempt(attempt, outcome.status);
         // Where it failed it would most likely fail again, and at once.
-        if !matches!(outcome.status, Status::Reset | Status::Moot | Status::NotSent) {
+        if !matches!(
+            outcome.status,
+            AttemptStatus::Reset | AttemptStatus::Expired | AttemptStatus::NotSent
+        ) {
             request.failed_workers.push(attempt.endpoint.worker);
         }
         let first_run = request.first_run();
         // What this process lacks for a moment is not there at once either.
         let is_short_of_resources = request.unsent_in_row() > 1;
-        let is_over = outcome.status == Status::Timeout || self.now >= request.deadline;
+        let is_over = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
         // Where all schedulers' requests ask for an instance, it is loaded at once, while others are tried.
         let function = self.cluster.functions.get(&attempt.function);
         let is_wanted = function.is_some_and(|f| self.demand(f, attempt.class).undersampled);
-        if outcome.status == Status::Miss && is_wanted {
+        if outcome.status == AttemptStatus::Miss && is_wanted {
             self.order_load(attempt.endpoint.worker, attempt.function);
         }
         if is_over || !self.may_retry(attempt.class, first_run) {
--- a/src/scheduler/actions.rs
+++ b/src/scheduler/actions.rs
@@ -5,7 +5,7 @@
 use super::load_orders::LoadOrder;
 use super::timers::Timer;
 use super::{AttemptId, Command, HealthCheckId, LoadOrderId, Outcome, Scheduler};
-use crate::model::{Action, FunctionId, RequestId, Span, Status, Time, WorkerId};
+use crate::model::{Action, AttemptStatus, FunctionId, RequestId, Span, Time, WorkerId};
 use tracing::debug;
 
 impl Scheduler {
@@ -17,7 +17,7 @@
                     request: id,
                     number: attempt,
                 };
-                self.cancel_attempt(now, attempt, Status::Cancelled);
+                self.cancel_attempt(now, attempt, AttemptStatus::Cancelled);
             }
             Action::Reject { id, retry_after } => {
                 self.finish_request(now, id, Outcome::Rejected { retry_after });
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts that are in flight or wait to be written.
 
 use super::AttemptId;
-use crate::model::{AttemptOutcome, InstanceState, Status, Time, WorkerId};
+use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, Time, WorkerId};
 use std::collections::BTreeMap;
 
 /// An attempt from the policy's decision to its end.
@@ -35,7 +35,7 @@
         self,
         now: Time,
         id: AttemptId,
-        status: Status,
+        status: AttemptStatus,
         request_finished: bool,
     ) -> AttemptOutcome {
         AttemptOutcome {
--- a/src/scheduler/completion.rs
+++ b/src/scheduler/completion.rs
@@ -6,7 +6,7 @@
 use super::{
     AttemptId, Command, HealthCheckId, LoadOrderId, LoadResult, Outcome, RequestOrigin, Response, Scheduler,
 };
-use crate::model::{Event, RequestId, Status, Time};
+use crate::model::{AttemptStatus, Event, HealthCheckStatus, RequestId, Time};
 use tracing::debug;
 
 impl Scheduler {
@@ -67,7 +67,7 @@
     }
 
     /// Ends an attempt that has not ended at its worker.
-    pub(super) fn cancel_attempt(&mut self, now: Time, id: AttemptId, status: Status) {
+    pub(super) fn cancel_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
@@ -79,7 +79,7 @@
     }
 
     /// Ends an attempt that is over at its worker, or never came there.
-    pub(super) fn finish_attempt(&mut self, now: Time, id: AttemptId, status: Status) {
+    pub(super) fn finish_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
         let Some(attempt) = self.attempts.remove(id) else {
             return;
         };
@@ -105,15 +105,17 @@
     }
 
     /// Ends a health check.
-    pub(super) fn finish_health_check(&mut self, id: HealthCheckId, status: Status) {
+    pub(super) fn finish_health_check(&mut self, id: HealthCheckId, status: HealthCheckStatus) {
         let Some(check) = self.health_checks.remove(id) else {
             return;
         };
         self.timers.cancel(check.deadline, Timer::HealthCheck(id));
-        if status != Status::Ok {
+        if status != HealthCheckStatus::Alive {
             self.counters.health_checks_failed += 1;
         }
-        self.pending_events
-            .push_back(Event::HealthCheckFinished(check.worker, status));
+        self.pending_events.push_back(Event::HealthCheckFinished {
+            worker: check.worker,
+            status,
+        });
     }
 }
--- a/src/scheduler/counters.rs
+++ b/src/scheduler/counters.rs
@@ -1,7 +1,7 @@
 //! Running totals of what the scheduler and the connections round it have done.
 
 use super::Outcome;
-use crate::model::Status;
+use crate::model::AttemptStatus;
 use std::fmt;
 
 /// Declares the counters in the order in which they are printed, each with its printed name.
@@ -98,17 +98,17 @@
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub(super) fn count_attempt_end(&mut self, status: Status) {
+    pub(super) fn count_attempt_end(&mut self, status: AttemptStatus) {
         let counter = match status {
-            Status::Ok => &mut self.attempts_ok,
-            Status::Error => &mut self.attempts_error,
-            Status::Full => &mut self.attempts_full,
-            Status::Timeout => &mut self.attempts_timeout,
-            Status::ConnectFailed => &mut self.attempts_connect_failed,
-            Status::Reset => &mut self.attempts_reset,
-            Status::Cancelled => &mut self.attempts_cancelled,
-            Status::Moot | Status::NotSent => &mut self.attempts_moot,
-            Status::Miss => &mut self.attempts_miss,
+            AttemptStatus::Ok => &mut self.attempts_ok,
+            AttemptStatus::Error => &mut self.attempts_error,
+            AttemptStatus::AtCapacity => &mut self.attempts_full,
+            AttemptStatus::Timeout => &mut self.attempts_timeout,
+            AttemptStatus::ConnectFailed => &mut self.attempts_connect_failed,
+            AttemptStatus::Reset => &mut self.attempts_reset,
+            AttemptStatus::Cancelled => &mut self.attempts_cancelled,
+            AttemptStatus::Expired | AttemptStatus::NotSent => &mut self.attempts_moot,
+            AttemptStatus::Miss => &mut self.attempts_miss,
         };
         *counter += 1;
     }
--- a/src/scheduler/endpoint_states.rs
+++ b/src/scheduler/endpoint_states.rs
@@ -12,7 +12,7 @@
 impl EndpointStates {
     /// Applies an update of the endpoint list.
     pub(super) fn apply(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
-        if matches!(kind, EndpointUpdateKind::Full | EndpointUpdateKind::Cached) {
+        if kind.is_complete() {
             let listed: BTreeSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
             self.states.retain(|worker, _| listed.contains(worker));
         }
--- a/src/scheduler/errors.rs
+++ b/src/scheduler/errors.rs
@@ -1,6 +1,6 @@
 //! How an exchange with a worker can fail.
 
-use crate::model::Status;
+use crate::model::{AttemptStatus, LoadStatus};
 use thiserror::Error;
 
 /// How far the bytes of a command had come when its exchange with the worker failed. This alone decides
@@ -18,12 +18,21 @@
 }
 
 impl WriteProgress {
-    /// The status that the policy is told for an attempt or load order that failed at this point.
-    pub(super) fn failure_status(self) -> Status {
+    /// The status of an attempt that failed at this point.
+    pub(super) fn attempt_status(self) -> AttemptStatus {
         match self {
-            WriteProgress::NotSent | WriteProgress::PartiallyWritten => Status::ConnectFailed,
-            WriteProgress::Written => Status::Reset,
-            WriteProgress::Answered => Status::Error,
+            WriteProgress::NotSent | WriteProgress::PartiallyWritten => AttemptStatus::ConnectFailed,
+            WriteProgress::Written => AttemptStatus::Reset,
+            WriteProgress::Answered => AttemptStatus::Error,
+        }
+    }
+
+    /// The status of a load order that failed at this point.
+    pub(super) fn load_status(self) -> LoadStatus {
+        match self {
+            WriteProgress::NotSent | WriteProgress::PartiallyWritten => LoadStatus::ConnectFailed,
+            WriteProgress::Written => LoadStatus::Reset,
+            WriteProgress::Answered => LoadStatus::Error,
         }
     }
 }
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -1,14 +1,14 @@
 //! Identifiers of requests at their client, attempts, load orders and health checks.
 
-use crate::model::RequestId;
+use crate::model::{ConnectionId, RequestId, StreamId};
 
 /// Where a request came from and its response goes: a client connection and a stream on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestOrigin {
-    /// The client connection; never reused.
-    pub connection: u64,
-    /// The stream on that connection, numbered by the front end.
-    pub stream: u64,
+    /// The client connection.
+    pub connection: ConnectionId,
+    /// The stream on that connection.
+    pub stream: StreamId,
 }
 
 /// One attempt of one request.
@@ -20,10 +20,10 @@
     pub number: u16,
 }
 
-/// One load order. The back end's tag on the wire is made from it.
+/// One load order. The backend's tag on the wire is made from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadOrderId(pub u64);
 
-/// One health check. The back end's tag on the wire is made from it.
+/// One health check. The backend's tag on the wire is made from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HealthCheckId(pub u64);
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,7 +1,7 @@
 //! Requests, workers' responses and final responses, as front ends, scheduler and back end exchange them.
 
 use super::RequestOrigin;
-use crate::model::{FunctionId, Span, Status, Time};
+use crate::model::{AttemptStatus, FunctionId, LoadStatus, Span, Time};
 
 /// What a client asks for.
 #[derive(Clone, Debug)]
@@ -74,7 +74,7 @@
     /// The function is not loaded there; the request never ran.
     Miss,
     /// Rejected for lack of capacity; the request never ran.
-    Full,
+    AtCapacity,
     /// Failed; the request may have run.
     Error,
     /// The request was over before it ran.
@@ -82,14 +82,26 @@
 }
 
 impl WorkerResponse {
-    /// The status that the policy is told for this response.
-    pub fn status(&self) -> Status {
+    /// The status of the attempt that got this response.
+    pub fn attempt_status(&self) -> AttemptStatus {
         match self {
-            WorkerResponse::Ok(_) => Status::Ok,
-            WorkerResponse::Miss => Status::Miss,
-            WorkerResponse::Full => Status::Full,
-            WorkerResponse::Error => Status::Error,
-            WorkerResponse::Expired => Status::Moot,
+            WorkerResponse::Ok(_) => AttemptStatus::Ok,
+            WorkerResponse::Miss => AttemptStatus::Miss,
+            WorkerResponse::AtCapacity => AttemptStatus::AtCapacity,
+            WorkerResponse::Error => AttemptStatus::Error,
+            WorkerResponse::Expired => AttemptStatus::Expired,
+        }
+    }
+
+    /// The status of the load order that got this response. The protocol gives load orders neither a miss, which
+    /// counts as no answer, nor an expiry, which says nothing of the worker.
+    pub fn load_status(&self) -> LoadStatus {
+        match self {
+            WorkerResponse::Ok(_) => LoadStatus::Ok,
+            WorkerResponse::Miss => LoadStatus::Timeout,
+            WorkerResponse::AtCapacity => LoadStatus::AtCapacity,
+            WorkerResponse::Error => LoadStatus::Error,
+            WorkerResponse::Expired => LoadStatus::NotSent,
         }
     }
 }
@@ -107,14 +119,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadResult {
     /// How the order ended.
-    pub status: Status,
+    pub status: LoadStatus,
     /// Instances that are loaded now.
     pub instances: u32,
 }
 
 impl LoadResult {
     /// The result of an order after which no instance is known to be loaded.
-    pub(super) fn without_instances(status: Status) -> LoadResult {
+    pub(super) fn without_instances(status: LoadStatus) -> LoadResult {
         LoadResult { status, instances: 0 }
     }
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -51,7 +51,8 @@
 
 use crate::collections::TimerQueue;
 use crate::model::{
-    ClassId, Endpoint, EndpointUpdateKind, Event, IncomingRequest, Site, Span, Status, TenantId, Time,
+    AttemptStatus, ClassId, Endpoint, EndpointUpdateKind, Event, HealthCheckStatus, IncomingRequest,
+    LoadStatus, Site, Span, TenantId, Time,
 };
 use crate::policy::Policy;
 use attempts::AttemptTable;
@@ -72,7 +73,9 @@
 /// use function_scheduler::scheduler::{
 ///     ClientRequest, Command, Outcome, RequestOrigin, RequestParameters, Scheduler, WorkerResponse,
 /// };
-/// use function_scheduler::{FunctionId, EndpointUpdateKind, Endpoint, Time, WorkerId};
+/// use function_scheduler::{
+///     ConnectionId, Endpoint, EndpointUpdateKind, FunctionId, StreamId, Time, WorkerId,
+/// };
 ///
 /// let site = function_scheduler::config::parse_site(br#"{"fleetSize": 1, "index": 0,
 ///   "classes": [{"name": "check", "deadlineNs": 3000000000, "effect": "retryable",
@@ -82,9 +85,9 @@
 ///   "familyInfo": {"keepNs": 9000000000, "notLoaded": "load", "loadSpanNs": 0}}"#).unwrap();
 /// let mut scheduler = Scheduler::new(site, 7);
 /// let worker = Endpoint { worker: WorkerId(1), ..Endpoint::default() };
-/// scheduler.update_endpoints(Time(0), EndpointUpdateKind::Full, vec![worker]);
+/// scheduler.update_endpoints(Time(0), EndpointUpdateKind::Snapshot, vec![worker]);
 ///
-/// let origin = RequestOrigin { connection: 1, stream: 1 };
+/// let origin = RequestOrigin { connection: ConnectionId(1), stream: StreamId(1) };
 /// scheduler.submit(Time(0), ClientRequest {
 ///     origin,
 ///     correlation_id: "9b1f03aa5c7e2d41".into(),
@@ -221,7 +224,7 @@
     pub fn update_endpoints(&mut self, now: Time, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         self.counters.endpoint_updates += 1;
         self.endpoint_states.apply(kind, &endpoints);
-        self.handle_event(now, Event::EndpointsUpdated(kind, endpoints));
+        self.handle_event(now, Event::EndpointsUpdated { kind, endpoints });
     }
 
     /// Takes in a complete request. From here on exactly one final response is owed to its client.
@@ -348,8 +351,8 @@
             return;
         }
         let status = match &result {
-            Ok(response) => response.status(),
-            Err(error) => error.progress.failure_status(),
+            Ok(response) => response.attempt_status(),
+            Err(error) => error.progress.attempt_status(),
         };
         if status.never_ran()
             && let Some(request) = self.requests.get_mut(id.request)
@@ -366,7 +369,7 @@
     /// An attempt was not written for a local reason: it was no longer admitted, or no connection could be
     /// opened for it. Unlike a refused connection, this says nothing of the worker.
     pub fn attempt_not_sent(&mut self, now: Time, attempt: AttemptId) {
-        self.finish_attempt(now, attempt, Status::NotSent);
+        self.finish_attempt(now, attempt, AttemptStatus::NotSent);
         self.run_policy(now);
     }
 
@@ -378,22 +381,22 @@
         result: Result<LoadResult, AttemptError>,
     ) {
         let result =
-            result.unwrap_or_else(|error| LoadResult::without_instances(error.progress.failure_status()));
+            result.unwrap_or_else(|error| LoadResult::without_instances(error.progress.load_status()));
         self.finish_load_order(now, order, result);
         self.run_policy(now);
     }
 
     /// A load order was not written for a local reason; see [`Scheduler::attempt_not_sent`].
     pub fn load_order_not_sent(&mut self, now: Time, order: LoadOrderId) {
-        self.finish_load_order(now, order, LoadResult::without_instances(Status::Moot));
+        self.finish_load_order(now, order, LoadResult::without_instances(LoadStatus::NotSent));
         self.run_policy(now);
     }
 
     /// A health check has been answered, or failed on the way.
     pub fn health_check_ended(&mut self, now: Time, check: HealthCheckId, result: Result<(), AttemptError>) {
         let status = match result {
-            Ok(()) => Status::Ok,
-            Err(_) => Status::Reset,
+            Ok(()) => HealthCheckStatus::Alive,
+            Err(_) => HealthCheckStatus::Failed,
         };
         self.finish_health_check(check, status);
         self.run_policy(now);
@@ -411,11 +414,11 @@
         match timer {
             Timer::Policy => self.pending_events.push_back(Event::TimerFired),
             Timer::Request(id) => self.fail_overdue_request(now, id),
-            Timer::Attempt(id) => self.cancel_attempt(now, id, Status::Timeout),
+            Timer::Attempt(id) => self.cancel_attempt(now, id, AttemptStatus::Timeout),
             Timer::LoadOrder(id) => {
-                self.finish_load_order(now, id, LoadResult::without_instances(Status::Timeout));
+                self.finish_load_order(now, id, LoadResult::without_instances(LoadStatus::Timeout));
             }
-            Timer::HealthCheck(id) => self.finish_health_check(id, Status::Timeout),
+            Timer::HealthCheck(id) => self.finish_health_check(id, HealthCheckStatus::Timeout),
         }
     }
 
--- a/src/scheduler/tests/counters.rs
+++ b/src/scheduler/tests/counters.rs
@@ -17,15 +17,15 @@
 #[test]
 fn ends_of_attempts_are_counted_by_status() {
     let cases = [
-        (Status::Ok, "ok"),
-        (Status::Error, "error"),
-        (Status::Full, "full"),
-        (Status::Timeout, "timeout"),
-        (Status::ConnectFailed, "connect_failed"),
-        (Status::Reset, "reset"),
-        (Status::Cancelled, "cancelled"),
-        (Status::Moot, "moot"),
-        (Status::Miss, "miss"),
+        (AttemptStatus::Ok, "ok"),
+        (AttemptStatus::Error, "error"),
+        (AttemptStatus::AtCapacity, "full"),
+        (AttemptStatus::Timeout, "timeout"),
+        (AttemptStatus::ConnectFailed, "connect_failed"),
+        (AttemptStatus::Reset, "reset"),
+        (AttemptStatus::Cancelled, "cancelled"),
+        (AttemptStatus::Expired, "moot"),
+        (AttemptStatus::Miss, "miss"),
     ];
     for (status, printed_name) in cases {
         let mut counters = Counters::default();
--- a/src/scheduler/tests/endpoint_states.rs
+++ b/src/scheduler/tests/endpoint_states.rs
@@ -9,12 +9,12 @@
     let cases = [
         (EndpointUpdateKind::Delta, true),
         (EndpointUpdateKind::Failed, true),
-        (EndpointUpdateKind::Full, false),
-        (EndpointUpdateKind::Cached, false),
+        (EndpointUpdateKind::Snapshot, false),
+        (EndpointUpdateKind::CachedSnapshot, false),
     ];
     for (kind, is_kept) in cases {
         let mut states = EndpointStates::default();
-        states.apply(EndpointUpdateKind::Full, &[ready(1), ready(2)]);
+        states.apply(EndpointUpdateKind::Snapshot, &[ready(1), ready(2)]);
         states.apply(kind, &[ready(2)]);
         assert_eq!(states.is_ready(WorkerId(1)), is_kept, "{kind:?}");
         assert!(states.is_ready(WorkerId(2)), "{kind:?}");
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -15,7 +15,7 @@
 
 use super::*;
 use crate::config::parse_site;
-use crate::model::{Action, EndpointState, FunctionId, WorkerId};
+use crate::model::{Action, ConnectionId, EndpointState, FunctionId, StreamId, WorkerId};
 
 /// Names of the request classes of [`SITE`].
 const IDEMPOTENT_CLASS: &str = "idempotent";
@@ -57,7 +57,7 @@
         ..Endpoint::default()
     };
     let endpoints = vec![endpoint(1), endpoint(2)];
-    scheduler.update_endpoints(at_millis(0), EndpointUpdateKind::Full, endpoints);
+    scheduler.update_endpoints(at_millis(0), EndpointUpdateKind::Snapshot, endpoints);
     scheduler
 }
 
@@ -77,8 +77,8 @@
 
 fn origin(stream: u64) -> RequestOrigin {
     RequestOrigin {
-        connection: 1,
-        stream,
+        connection: ConnectionId(1),
+        stream: StreamId(stream),
     }
 }
 
--- a/src/scheduler/tests/timers.rs
+++ b/src/scheduler/tests/timers.rs
@@ -76,7 +76,7 @@
 
     scheduler.attempt_ended(at_millis(1), sent.id, Ok(WorkerResponse::Ok(vec![])));
     let loaded = LoadResult {
-        status: Status::Ok,
+        status: LoadStatus::Ok,
         instances: 1,
     };
     scheduler.load_order_ended(at_millis(1), order, Ok(loaded));
--- a/src/scheduler/tests/write_admission.rs
+++ b/src/scheduler/tests/write_admission.rs
@@ -32,7 +32,7 @@
     update_endpoints(&mut scheduler, at_millis(12), vec![ready]);
     assert!(scheduler.admits_write(at_millis(12), sent.id));
 
-    scheduler.update_endpoints(at_millis(13), EndpointUpdateKind::Full, vec![]);
+    scheduler.update_endpoints(at_millis(13), EndpointUpdateKind::Snapshot, vec![]);
     assert!(
         !scheduler.admits_write(at_millis(13), sent.id),
         "absent from the full list means gone"
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -4,7 +4,7 @@
 use crate::config::JsonRpcConfig;
 use crate::frontend::unix_socket::{self, SocketFile};
 use crate::frontend::{FrameConnection, JsonRpcConnection};
-use crate::model::{Span, Time};
+use crate::model::{ConnectionId, Span, Time};
 use crate::net::{ListenerId, Reactor, Stream};
 use crate::scheduler::Scheduler;
 use std::collections::BTreeSet;
@@ -56,7 +56,7 @@
     limits: ClientLimits,
     jsonrpc: Option<JsonRpcListener>,
     /// Clients of the JSON-RPC frontend, also such as have closed since the last one was accepted.
-    jsonrpc_clients: BTreeSet<u64>,
+    jsonrpc_clients: BTreeSet<ConnectionId>,
     /// Since when clients may have waited, because the system or the limits let none be accepted.
     blocked_since: Option<Time>,
     /// When to accept again from all listeners: the system reports a waiting client only once.
@@ -216,7 +216,12 @@
     }
 
     /// What a client has sent while it waited to be accepted has less time left.
-    fn read_waiting_input(&self, client: Option<u64>, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    fn read_waiting_input(
+        &self,
+        client: Option<ConnectionId>,
+        reactor: &mut Reactor,
+        scheduler: &mut Scheduler,
+    ) {
         if let (Some(client), Some(since)) = (client, self.blocked_since) {
             reactor.read_waiting_input(client, since, scheduler);
         }
@@ -261,8 +266,8 @@
         self.jsonrpc_clients.len() < max_clients
     }
 
-    fn longest_idle_jsonrpc_client(&self, reactor: &Reactor) -> Option<u64> {
-        let idle = |client: &u64| reactor.idle_since(*client).map(|since| (since, *client));
+    fn longest_idle_jsonrpc_client(&self, reactor: &Reactor) -> Option<ConnectionId> {
+        let idle = |client: &ConnectionId| reactor.idle_since(*client).map(|since| (since, *client));
         self.jsonrpc_clients
             .iter()
             .filter_map(idle)
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -132,7 +132,7 @@
         panic!()
     };
     assert_eq!(instance, INSTANCE);
-    assert_eq!(kind, EndpointUpdateKind::Cached);
+    assert_eq!(kind, EndpointUpdateKind::CachedSnapshot);
     assert_eq!(list, ListId(0));
 }
 
@@ -164,14 +164,14 @@
     assert_eq!(outcome.function_in_flight, 3);
     assert!(outcome.request_finished);
     let Record::Event {
-        event: Event::HealthCheckFinished(worker, status),
+        event: Event::HealthCheckFinished { worker, status },
         ..
     } = records[2]
     else {
         panic!()
     };
     assert_eq!(worker, OTHER_WORKER);
-    assert_eq!(status, Status::Timeout);
+    assert_eq!(status, HealthCheckStatus::Timeout);
 }
 
 #[test]
@@ -205,31 +205,79 @@
     assert_eq!(outcome.instances, 1);
     assert_eq!(outcome.worker, OTHER_WORKER);
     assert_eq!(outcome.latency, Span(640_000_000));
-    assert_eq!(outcome.status, Status::Ok);
+    assert_eq!(outcome.status, LoadStatus::Ok);
     assert_eq!(outcome.function, FUNCTION);
 }
 
+/// Decodes one record, which holds an event.
+fn decode_event(record: &str) -> Event {
+    let mut records = decode(&batch(9, &[hex(record)])).unwrap();
+    let Some(Record::Event { event, .. }) = records.pop() else {
+        panic!("no event")
+    };
+    event
+}
+
+#[test]
+fn every_status_of_the_wire_page_is_known_of_an_attempt() {
+    for (code, expected) in [
+        (0, AttemptStatus::Ok),
+        (13, AttemptStatus::Error),
+        (8, AttemptStatus::AtCapacity),
+        (4, AttemptStatus::Timeout),
+        (14, AttemptStatus::ConnectFailed),
+        (10, AttemptStatus::Reset),
+        (1, AttemptStatus::Cancelled),
+        (9, AttemptStatus::Expired),
+        (5, AttemptStatus::Miss),
+    ] {
+        let answer =
+            format!("05 0000001a 0003 5d3a91c4 0000 0a124a07 1f43 {code:02x} 00000000011a49a0 01 19 00");
+        let Event::AttemptFinished(outcome) = decode_event(&answer) else {
+            panic!("code {code}")
+        };
+        assert_eq!(outcome.status, expected, "code {code}");
+    }
+}
+
 #[test]
-fn every_status_of_the_wire_page_is_known() {
+fn every_status_of_the_wire_page_is_known_of_a_load_order() {
     for (code, expected) in [
-        (0, Status::Ok),
-        (13, Status::Error),
-        (8, Status::Full),
-        (4, Status::Timeout),
-        (14, Status::ConnectFailed),
-        (10, Status::Reset),
-        (1, Status::Cancelled),
-        (9, Status::Moot),
-        (5, Status::Miss),
+        (0, LoadStatus::Ok),
+        (13, LoadStatus::Error),
+        (8, LoadStatus::AtCapacity),
+        (4, LoadStatus::Timeout),
+        (14, LoadStatus::ConnectFailed),
+        (10, LoadStatus::Reset),
+        (1, LoadStatus::Timeout),
+        (9, LoadStatus::NotSent),
+        (5, LoadStatus::Timeout),
+    ] {
+        let stands =
+            format!("0b 0000001a 0003 01 0a9011f2 1f6c 000000002625a000 {code:02x} 0000007c55d20a01");
+        let Event::LoadFinished(outcome) = decode_event(&stands) else {
+            panic!("code {code}")
+        };
+        assert_eq!(outcome.status, expected, "code {code}");
+    }
+}
+
+#[test]
+fn every_status_of_the_wire_page_is_known_of_a_health_check() {
+    for (code, expected) in [
+        (0, HealthCheckStatus::Alive),
+        (13, HealthCheckStatus::Failed),
+        (8, HealthCheckStatus::Failed),
+        (4, HealthCheckStatus::Timeout),
+        (14, HealthCheckStatus::Failed),
+        (10, HealthCheckStatus::Failed),
+        (1, HealthCheckStatus::Failed),
+        (9, HealthCheckStatus::Failed),
+        (5, HealthCheckStatus::Failed),
     ] {
         let probe_result = format!("08 00000011 0003 0000000000155cc0 {code:02x} 0a9011f2 1f6c");
-        let records = decode(&batch(9, &[hex(&probe_result)])).unwrap();
-        let Record::Event {
-            event: Event::HealthCheckFinished(_, status),
-            ..
-        } = records[0]
-        else {
-            panic!()
+        let Event::HealthCheckFinished { status, .. } = decode_event(&probe_result) else {
+            panic!("code {code}")
         };
         assert_eq!(status, expected, "code {code}");
     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -290,7 +290,7 @@
         .known_events;
     let order: Vec<_> = events.iter().map(|event| (event.offset, event.kind)).collect();
     let expected = [
-        (4, EndpointUpdateKind::Full),
+        (4, EndpointUpdateKind::Snapshot),
         (7, EndpointUpdateKind::Delta),
         (9, EndpointUpdateKind::Delta),
     ];
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures, workers_sent_to};
-use function_scheduler::{Action, IncomingRequest, OnMiss, RequestId, Settings, Span, Status};
+use function_scheduler::{Action, AttemptStatus, IncomingRequest, OnMiss, RequestId, Settings, Span};
 
 /// The policy once held requests that no worker could serve until just before their deadline.
 #[test]
@@ -32,7 +32,7 @@
 fn overload_is_shed_by_the_scheduler_and_not_queued_at_workers() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
     harness.receive(request(100, 7));
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     let mut actions = vec![];
     for n in 0..60 {
         actions.extend(harness.receive(request(n, 7)));
@@ -50,7 +50,7 @@
     for (remaining_ms, rejected) in [(300, true), (2500, false)] {
         let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
         harness.receive(request(100, 7));
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
         for n in 0..60 {
             let remaining = Span::from_millis(remaining_ms);
             harness.receive(IncomingRequest {
@@ -73,7 +73,7 @@
     let mut harness = PolicyHarness::new(settings, 40);
     for n in 0..60 {
         harness.receive(request(1000 + n, u64::from(n)));
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
     }
     let mut ended = 0;
     for n in 0..60 {
@@ -82,7 +82,7 @@
         for attempt in 0..5 {
             let last = harness.sent.last();
             if last.is_some_and(|last| last.request == RequestId(n) && last.attempt == attempt) {
-                harness.finish_attempt(RequestId(n), attempt, Status::Full);
+                harness.finish_attempt(RequestId(n), attempt, AttemptStatus::AtCapacity);
             }
         }
         harness.advance_ms(100);
--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -2,27 +2,27 @@
 
 use crate::support::policy_fixtures::{attempt_outcome, request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, workers_sent_to};
-use function_scheduler::{AttemptOutcome, Event, InstanceState, OnMiss, RequestId, Span, Status};
+use function_scheduler::{AttemptOutcome, AttemptStatus, Event, InstanceState, OnMiss, RequestId, Span};
 
 /// A failed load for lack of memory kept requests away from the worker's loaded instances and cut its limit.
 #[test]
 fn worker_without_memory_for_a_new_instance_still_serves_its_loaded_ones() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
     let home = harness.receive_and_place(request(0, 7))[0];
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     let mut rejected_by_home = 0;
     for n in 1..200 {
         if harness.receive_and_place(request(n, 1000 + u64::from(n))) != [home] {
-            harness.finish_last_attempt(Status::Ok);
+            harness.finish_last_attempt(AttemptStatus::Ok);
             continue;
         }
         rejected_by_home += 1;
-        let next = workers_sent_to(&harness.finish_attempt(RequestId(n), 0, Status::Full));
+        let next = workers_sent_to(&harness.finish_attempt(RequestId(n), 0, AttemptStatus::AtCapacity));
         assert!(!next.is_empty() && next[0] != home, "{next:?}");
-        harness.finish_attempt(RequestId(n), 1, Status::Ok);
+        harness.finish_attempt(RequestId(n), 1, AttemptStatus::Ok);
         harness.advance_ms(20);
         assert_eq!(harness.receive_and_place(request(1000 + n, 7)), [home]);
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
         harness.advance_ms(200);
     }
     assert!(rejected_by_home > 20, "{rejected_by_home}");
@@ -39,13 +39,13 @@
 fn quick_worker_that_rejects_a_request_keeps_its_limit_and_loses_the_instance() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
     let home = harness.receive_and_place(request(0, 7))[0];
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     for n in 1..12 {
         if harness.receive_and_place(request(n, 7)) == [home] {
-            let next = workers_sent_to(&harness.finish_attempt(RequestId(n), 0, Status::Full));
+            let next = workers_sent_to(&harness.finish_attempt(RequestId(n), 0, AttemptStatus::AtCapacity));
             assert!(!next.contains(&home), "not there again at once");
         }
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
         harness.advance_ms(200);
     }
     let sent: Vec<_> = (100..140)
@@ -68,7 +68,7 @@
         harness.handle(Event::AttemptFinished(AttemptOutcome {
             latency,
             instance_state: InstanceState::Loaded,
-            ..attempt_outcome(RequestId(n), 0, Status::Ok)
+            ..attempt_outcome(RequestId(n), 0, AttemptStatus::Ok)
         }));
     }
     let sent = (100..120)
@@ -94,6 +94,6 @@
     assert_eq!(sent, 15, "nothing is loaded: each counts half of the limit of 8");
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
     harness.receive(request(1, 0));
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     assert_eq!(sent_of_30_requests(&mut harness, 1), 8, "an instance is loaded");
 }
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -5,8 +5,8 @@
 };
 use crate::support::policy_harness::{PolicyHarness, cancel_count, health_check_count, workers_sent_to};
 use function_scheduler::{
-    Action, AttemptOutcome, Endpoint, EndpointUpdateKind, Event, OnMiss, RequestId, Span, Status, WorkerId,
-    ZoneId,
+    Action, AttemptOutcome, AttemptStatus, Endpoint, EndpointUpdateKind, Event, HealthCheckStatus, OnMiss,
+    RequestId, Span, WorkerId, ZoneId,
 };
 use std::collections::BTreeSet;
 
@@ -14,10 +14,13 @@
 /// loads on other workers.
 #[test]
 fn reset_connection_keeps_the_loaded_instances_but_a_refused_one_does_not() {
-    for (status, stays) in [(Status::Reset, true), (Status::ConnectFailed, false)] {
+    for (status, stays) in [
+        (AttemptStatus::Reset, true),
+        (AttemptStatus::ConnectFailed, false),
+    ] {
         let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 3);
         let home = harness.receive_and_place(request(1, 7));
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
         harness.receive(request(2, 7));
         let retry = workers_sent_to(&harness.finish_last_attempt(status));
         assert_eq!(retry == home, stays, "{status:?}");
@@ -29,7 +32,7 @@
 fn worker_that_fails_every_request_at_once_is_ejected() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
     let faulty = harness.receive_and_place(request(0, 7))[0];
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     let mut attempts_at_faulty = 0;
     for n in 1..100 {
         let mut sent_to = harness.receive_and_place(request(n, 7));
@@ -39,9 +42,9 @@
             };
             attempts_at_faulty += usize::from(worker == faulty);
             let status = if worker == faulty {
-                Status::Error
+                AttemptStatus::Error
             } else {
-                Status::Ok
+                AttemptStatus::Ok
             };
             sent_to = workers_sent_to(&harness.finish_attempt(RequestId(n), attempt, status));
             assert!(
@@ -62,17 +65,23 @@
         let home = harness.receive_and_place(request_of_class(1, 7, class))[0];
         assert_eq!(health_check_count(&harness.advance_ms(700)), 0);
         assert_eq!(health_check_count(&harness.advance_ms(400)), 1, "one at a time");
-        let actions = harness.handle(Event::HealthCheckFinished(home, Status::Timeout));
+        let actions = harness.handle(Event::HealthCheckFinished {
+            worker: home,
+            status: HealthCheckStatus::Timeout,
+        });
         assert_eq!(cancel_count(&actions), 0);
         assert_eq!(health_check_count(&harness.advance_ms(300)), 1);
-        let actions = harness.handle(Event::HealthCheckFinished(home, Status::ConnectFailed));
+        let actions = harness.handle(Event::HealthCheckFinished {
+            worker: home,
+            status: HealthCheckStatus::Failed,
+        });
         let cancel = Action::Cancel {
             id: RequestId(1),
             attempt: 0,
         };
         assert_eq!(actions.contains(&cancel), moves, "{class:?}");
         if moves {
-            let next = workers_sent_to(&harness.finish_attempt(RequestId(1), 0, Status::Cancelled));
+            let next = workers_sent_to(&harness.finish_attempt(RequestId(1), 0, AttemptStatus::Cancelled));
             assert!(next.len() == 1 && next[0] != home, "{next:?}");
         }
         let other = harness.receive_and_place(request(2, 7))[0];
@@ -81,7 +90,10 @@
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
     let home = harness.receive_and_place(request(1, 7))[0];
     harness.advance_ms(1100);
-    harness.handle(Event::HealthCheckFinished(home, Status::Ok));
+    harness.handle(Event::HealthCheckFinished {
+        worker: home,
+        status: HealthCheckStatus::Alive,
+    });
     assert_eq!(
         health_check_count(&harness.advance_ms(700)),
         0,
@@ -98,7 +110,7 @@
 fn place_and_serve(harness: &mut PolicyHarness, id: u32) -> WorkerId {
     let worker = harness.receive_and_place(request(id, u64::from(id)))[0];
     if !is_cut_off(&worker) {
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
     }
     worker
 }
@@ -115,7 +127,7 @@
         ..ready_endpoint(n)
     };
     harness.update_endpoints(
-        EndpointUpdateKind::Full,
+        EndpointUpdateKind::Snapshot,
         (1..=8).map(in_one_of_two_zones).collect(),
     );
     let mut ids = 1..;
@@ -146,7 +158,7 @@
     harness.handle(Event::AttemptFinished(AttemptOutcome {
         latency: Span::from_millis(2498),
         request_finished: true,
-        ..attempt_outcome(RequestId(1), 0, Status::Cancelled)
+        ..attempt_outcome(RequestId(1), 0, AttemptStatus::Cancelled)
     }));
     let next = harness.receive_and_place(request(2, 7));
     assert!(next.len() == 1 && next != home, "{next:?} is not {home:?}");
--- a/tests/policy/load_rate_limit.rs
+++ b/tests/policy/load_rate_limit.rs
@@ -2,7 +2,7 @@
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, requested_loads, workers_sent_to};
-use function_scheduler::{LoadRateLimit, OnMiss, Span, Status, Time};
+use function_scheduler::{AttemptStatus, LoadRateLimit, LoadStatus, OnMiss, Span, Time};
 
 const LIMIT: LoadRateLimit = LoadRateLimit {
     burst: 2.0,
@@ -24,13 +24,13 @@
         recording.requests.push(harness.now);
         let mut actions = harness.receive(request(n, u64::from(n)));
         while !workers_sent_to(&actions).is_empty() {
-            actions = harness.finish_last_attempt(Status::Miss);
+            actions = harness.finish_last_attempt(AttemptStatus::Miss);
             recording
                 .loads
                 .extend(requested_loads(&actions).iter().map(|_| harness.now));
         }
         for load in requested_loads(&actions) {
-            harness.finish_load(load.worker, load.function, Status::Ok);
+            harness.finish_load(load.worker, load.function, LoadStatus::Ok);
         }
         for _ in 0..5 {
             let loads = requested_loads(&harness.advance_ms(10));
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -5,8 +5,8 @@
     PolicyHarness, rejections_and_failures, requested_loads, workers_sent_to,
 };
 use function_scheduler::{
-    AttemptOutcome, Endpoint, EndpointState, EndpointUpdateKind, Event, LoadMetric, OnMiss, RequestId,
-    Settings, Status,
+    AttemptOutcome, AttemptStatus, Endpoint, EndpointState, EndpointUpdateKind, Event, LoadMetric, OnMiss,
+    RequestId, Settings,
 };
 
 #[test]
@@ -15,7 +15,7 @@
     let actions = harness.receive(request(1, 7));
     let home = workers_sent_to(&actions);
     assert_eq!((home.len(), requested_loads(&actions).len()), (1, 0));
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     assert_eq!(
         harness.receive_and_place(request(2, 7)),
         home,
@@ -78,7 +78,7 @@
 fn request_does_not_wait_for_a_full_worker_while_others_have_capacity() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
     let home = harness.receive_and_place(request(0, 7))[0];
-    harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
     let mut elsewhere = 0;
     for n in 1..30 {
         let sent = harness.receive_and_place(request(n, 7));
@@ -105,7 +105,7 @@
     let finish_with_report = |harness: &mut PolicyHarness, request: RequestId, load_report: Vec<f32>| {
         let outcome = AttemptOutcome {
             load_report,
-            ..attempt_outcome(request, 0, Status::Ok)
+            ..attempt_outcome(request, 0, AttemptStatus::Ok)
         };
         harness.handle(Event::AttemptFinished(outcome));
     };
--- a/tests/policy/prewarm.rs
+++ b/tests/policy/prewarm.rs
@@ -2,7 +2,7 @@
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, RequestedLoad, requested_loads, workers_sent_to};
-use function_scheduler::{FunctionId, OnMiss, Status};
+use function_scheduler::{AttemptStatus, FunctionId, LoadStatus, OnMiss};
 use std::collections::{BTreeMap, BTreeSet};
 
 const FUNCTION: FunctionId = FunctionId(7);
@@ -12,17 +12,17 @@
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 4);
     let first = harness.receive_and_place(request(1, 7));
     assert_eq!(first.len(), 1);
-    let second = workers_sent_to(&harness.finish_last_attempt(Status::Miss));
+    let second = workers_sent_to(&harness.finish_last_attempt(AttemptStatus::Miss));
     assert_eq!(second.len(), 1);
     assert_ne!(first, second);
-    let actions = harness.finish_last_attempt(Status::Miss);
+    let actions = harness.finish_last_attempt(AttemptStatus::Miss);
     let expected = RequestedLoad {
         worker: first[0],
         function: FUNCTION,
     };
     assert_eq!(requested_loads(&actions), vec![expected]);
     assert!(workers_sent_to(&actions).is_empty());
-    let after_load = harness.finish_load(first[0], FUNCTION, Status::Ok);
+    let after_load = harness.finish_load(first[0], FUNCTION, LoadStatus::Ok);
     assert_eq!(workers_sent_to(&after_load), first);
 }
 
@@ -32,7 +32,7 @@
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 4);
     for n in 0..requests_before {
         harness.receive(request(n, 7));
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
     }
     (1000..1003)
         .flat_map(|n| requested_loads(&harness.receive(request(n, 7))))
@@ -57,13 +57,13 @@
     for n in 0..200 {
         let on_arrival = harness.receive(request(n, 7));
         if !workers_sent_to(&on_arrival).is_empty() {
-            harness.finish_last_attempt(Status::Ok);
+            harness.finish_last_attempt(AttemptStatus::Ok);
         }
         let mut actions = harness.advance_ms(100);
         actions.extend(on_arrival);
         for load in requested_loads(&actions) {
             *loads_by_worker.entry(load.worker).or_insert(0) += 1;
-            harness.finish_load(load.worker, FUNCTION, Status::Ok);
+            harness.finish_load(load.worker, FUNCTION, LoadStatus::Ok);
         }
     }
     assert!(loads_by_worker.len() >= 3, "{loads_by_worker:?}");
@@ -107,9 +107,9 @@
         let loads = requested_loads(&actions);
         asked.extend(loads.iter().copied());
         actions = match loads.first() {
-            Some(load) => harness.finish_load(load.worker, FUNCTION, Status::Full),
+            Some(load) => harness.finish_load(load.worker, FUNCTION, LoadStatus::AtCapacity),
             None if sent.is_empty() => harness.advance_ms(10),
-            None => harness.finish_last_attempt(Status::Miss),
+            None => harness.finish_last_attempt(AttemptStatus::Miss),
         };
     }
     assert!((1..=3).contains(&asked.len()), "{asked:?}");
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -2,7 +2,7 @@
 
 use crate::support::policy_fixtures::{KEYED, NON_IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures, workers_sent_to};
-use function_scheduler::{Action, OnMiss, RequestId, Status};
+use function_scheduler::{Action, AttemptStatus, OnMiss, RequestId};
 
 #[test]
 fn request_whose_attempt_is_unanswered_fails_just_before_its_deadline() {
@@ -23,7 +23,7 @@
         id: RequestId(1),
         attempt: 0
     }));
-    let after_end = harness.finish_attempt(RequestId(1), 0, Status::Cancelled);
+    let after_end = harness.finish_attempt(RequestId(1), 0, AttemptStatus::Cancelled);
     assert!(
         after_end
             .iter()
@@ -33,7 +33,12 @@
 
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_cannot_have_run() {
-    for status in [Status::Error, Status::Reset, Status::Timeout, Status::Cancelled] {
+    for status in [
+        AttemptStatus::Error,
+        AttemptStatus::Reset,
+        AttemptStatus::Timeout,
+        AttemptStatus::Cancelled,
+    ] {
         let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
         harness.receive(request_of_class(1, 7, NON_IDEMPOTENT));
         let actions = harness.finish_last_attempt(status);
@@ -43,7 +48,12 @@
             vec![Action::Fail { id: RequestId(1) }]
         );
     }
-    for status in [Status::Full, Status::ConnectFailed, Status::Moot, Status::NotSent] {
+    for status in [
+        AttemptStatus::AtCapacity,
+        AttemptStatus::ConnectFailed,
+        AttemptStatus::Expired,
+        AttemptStatus::NotSent,
+    ] {
         let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
         harness.receive(request_of_class(1, 7, NON_IDEMPOTENT));
         assert_eq!(
@@ -58,10 +68,10 @@
 fn keyed_request_is_retried_only_in_its_cell_and_deduplication_window() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 6);
     let first = harness.receive_and_place(request_of_class(1, 7, KEYED))[0];
-    let next = workers_sent_to(&harness.finish_last_attempt(Status::Error))[0];
+    let next = workers_sent_to(&harness.finish_last_attempt(AttemptStatus::Error))[0];
     assert_eq!(first.0 % 2, next.0 % 2, "the same cell");
     harness.advance_ms(1000);
-    let actions = harness.finish_last_attempt(Status::Error);
+    let actions = harness.finish_last_attempt(AttemptStatus::Error);
     assert!(workers_sent_to(&actions).is_empty(), "the window is over");
     let failure = Action::Fail { id: RequestId(1) };
     assert_eq!(
@@ -78,7 +88,7 @@
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 5);
     harness.receive(request(1, 7));
     for _ in 0..4 {
-        harness.finish_last_attempt(Status::ConnectFailed);
+        harness.finish_last_attempt(AttemptStatus::ConnectFailed);
     }
     assert_eq!(
         (harness.sent.len(), harness.workers_used().len()),
@@ -95,7 +105,7 @@
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
     harness.receive(request(1, 7));
     for _ in 0..20 {
-        let at_once = harness.finish_last_attempt(Status::NotSent);
+        let at_once = harness.finish_last_attempt(AttemptStatus::NotSent);
         assert!(rejections_and_failures(&at_once).is_empty(), "given up");
         if workers_sent_to(&at_once).is_empty() {
             let later = harness.advance_ms(50);
@@ -106,7 +116,7 @@
     assert_eq!(attempts_in_a_row, 21);
     // Attempts that may have left this process count as before.
     let mut sent = 1;
-    while rejections_and_failures(&harness.finish_last_attempt(Status::ConnectFailed)).is_empty() {
+    while rejections_and_failures(&harness.finish_last_attempt(AttemptStatus::ConnectFailed)).is_empty() {
         sent += 1;
     }
     assert_eq!(sent, test_settings(OnMiss::Load).permissions.max_attempts);
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -3,14 +3,15 @@
 use crate::support::policy_fixtures::{IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures};
 use function_scheduler::{
-    Action, ClassId, Event, FunctionId, IncomingRequest, OnMiss, RequestId, Span, Status, WorkerId,
+    Action, AttemptStatus, ClassId, Event, FunctionId, IncomingRequest, LoadStatus, OnMiss, RequestId, Span,
+    WorkerId,
 };
 
 #[test]
 fn unknown_and_absurd_events_are_ignored() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 2);
-    harness.finish_attempt(RequestId(9), 3, Status::Ok);
-    harness.finish_load(WorkerId(77), FunctionId(8), Status::Error);
+    harness.finish_attempt(RequestId(9), 3, AttemptStatus::Ok);
+    harness.finish_load(WorkerId(77), FunctionId(8), LoadStatus::Error);
     harness.handle(Event::ClientDisconnected(RequestId(9)));
     for (n, absurd) in [0.0, f64::NAN, f64::INFINITY, -3.0].into_iter().enumerate() {
         let ordinary = request(100 + n as u32, 3);
@@ -28,8 +29,8 @@
         vec![Action::Fail { id: RequestId(200) }]
     );
     harness.receive(request_of_class(1, 7, IDEMPOTENT));
-    harness.finish_last_attempt(Status::Ok);
-    let repeated = harness.finish_last_attempt(Status::Ok);
+    harness.finish_last_attempt(AttemptStatus::Ok);
+    let repeated = harness.finish_last_attempt(AttemptStatus::Ok);
     let only_timers = repeated
         .iter()
         .all(|action| matches!(action, Action::SetTimer { .. }));
@@ -43,7 +44,11 @@
     for n in 0..300 {
         actions.extend(harness.receive(request(n, u64::from(n % 7))));
         if !harness.sent.is_empty() {
-            let status = if n % 5 == 0 { Status::Miss } else { Status::Ok };
+            let status = if n % 5 == 0 {
+                AttemptStatus::Miss
+            } else {
+                AttemptStatus::Ok
+            };
             actions.extend(harness.finish_last_attempt(status));
         }
         actions.extend(harness.advance_ms(20));
--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -2,7 +2,9 @@
 
 use crate::support::policy_fixtures::{endpoint_started_at, ready_endpoint, request, test_settings};
 use crate::support::policy_harness::PolicyHarness;
-use function_scheduler::{Endpoint, EndpointUpdateKind, OnMiss, RequestId, Settings, Span, Status, WorkerId};
+use function_scheduler::{
+    AttemptStatus, Endpoint, EndpointUpdateKind, OnMiss, RequestId, Settings, Span, WorkerId,
+};
 use std::collections::VecDeque;
 
 /// The worker that starts cold, in all tests of slow start.
@@ -104,7 +106,7 @@
             let scheduler = index as usize;
             let mut harness = PolicyHarness::new(fleet_settings(index), WORKERS);
             harness.now = self.schedulers[scheduler].now;
-            harness.update_endpoints(EndpointUpdateKind::Full, self.endpoints(restart.at_ms));
+            harness.update_endpoints(EndpointUpdateKind::Snapshot, self.endpoints(restart.at_ms));
             self.schedulers[scheduler] = harness;
             self.in_flight.retain(|attempt| attempt.scheduler != scheduler);
         }
@@ -155,7 +157,7 @@
             .is_some_and(|attempt| attempt.answered_at_ms <= now_ms)
         {
             if let Some(due) = self.in_flight.pop_front() {
-                self.schedulers[due.scheduler].finish_attempt(due.request, due.attempt, Status::Ok);
+                self.schedulers[due.scheduler].finish_attempt(due.request, due.attempt, AttemptStatus::Ok);
             }
         }
     }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -5,7 +5,9 @@
 };
 use crate::support::policy_fixtures::{endpoint_started_at, request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, workers_sent_to};
-use function_scheduler::{Endpoint, EndpointState, EndpointUpdateKind, OnMiss, Settings, Span, Status, Time};
+use function_scheduler::{
+    AttemptStatus, Endpoint, EndpointState, EndpointUpdateKind, OnMiss, Settings, Span, Time,
+};
 
 /// Replaces the endpoint of the cold worker by one that started `age_ms` ago, and returns it.
 fn start_cold_worker(harness: &mut PolicyHarness, age_ms: u64) -> Endpoint {
@@ -28,7 +30,7 @@
             cold_sends.push(harness.now);
         }
         harness.advance_ms(20);
-        harness.finish_last_attempt(Status::Ok);
+        harness.finish_last_attempt(AttemptStatus::Ok);
     }
     // Three warm workers serve 50 requests a second. The cold one may get the rate of one of them times its initial
     // capacity (0.2) times the overload multiple (2.5), in an overload window of 2 s.
@@ -96,7 +98,7 @@
 fn depart(harness: &mut PolicyHarness, cold: Endpoint, departure: Departure) {
     match departure {
         Departure::None => {}
-        Departure::OmittedFromFullList => harness.update_endpoints(EndpointUpdateKind::Full, vec![]),
+        Departure::OmittedFromFullList => harness.update_endpoints(EndpointUpdateKind::Snapshot, vec![]),
         Departure::ReportedGone => {
             let gone = Endpoint {
                 state: EndpointState::Gone,
@@ -130,7 +132,7 @@
                 continue;
             }
             sent_before += 1;
-            harness.finish_last_attempt(Status::Ok);
+            harness.finish_last_attempt(AttemptStatus::Ok);
             depart(&mut harness, cold, departure);
             harness.advance_ms(300);
             harness.update_endpoints(EndpointUpdateKind::Delta, vec![cold]);
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -11,14 +11,16 @@
     AttemptId, ClientRequest, Command, LoadOrderId, LoadResult, RequestOrigin, RequestParameters, Scheduler,
     WorkerResponse,
 };
-use function_scheduler::{Endpoint, EndpointUpdateKind, FunctionId, Span, Status, Time, WorkerId};
+use function_scheduler::{
+    ConnectionId, Endpoint, EndpointUpdateKind, FunctionId, LoadStatus, Span, StreamId, Time, WorkerId,
+};
 use serde_json::{Value, json};
 use support::IDEMPOTENT_CLASS;
 use support::configuration::default_settings;
 use support::raw_worker::RawWorker;
 
 const WORKER: WorkerId = WorkerId(1);
-const CLIENT_CONNECTION: u64 = 1;
+const CLIENT_CONNECTION: ConnectionId = ConnectionId(1);
 
 /// A scheduler with these settings whose only worker is ready.
 fn scheduler_with_one_worker(settings: &Value, now: Time) -> Scheduler {
@@ -28,7 +30,7 @@
         worker: WORKER,
         ..Endpoint::default()
     };
-    scheduler.update_endpoints(now, EndpointUpdateKind::Full, vec![endpoint]);
+    scheduler.update_endpoints(now, EndpointUpdateKind::Snapshot, vec![endpoint]);
     scheduler
 }
 
@@ -38,7 +40,7 @@
     ClientRequest {
         origin: RequestOrigin {
             connection: CLIENT_CONNECTION,
-            stream: n,
+            stream: StreamId(n),
         },
         correlation_id: format!("{n:016x}"),
         parameters: RequestParameters {
@@ -121,7 +123,7 @@
         now,
         order,
         Ok(LoadResult {
-            status: Status::Full,
+            status: LoadStatus::AtCapacity,
             instances: 0,
         }),
     );
@@ -129,7 +131,7 @@
         now,
         RequestOrigin {
             connection: CLIENT_CONNECTION,
-            stream: n,
+            stream: StreamId(n),
         },
     );
     admitted
--- a/tests/support/policy_fixtures.rs
+++ b/tests/support/policy_fixtures.rs
@@ -1,9 +1,10 @@
 //! Settings, endpoints, requests and outcomes to feed into a policy.
 
 use function_scheduler::{
-    AttemptOutcome, CellId, ClassId, DeduplicationScope, DiscoveryMode, Endpoint, EndpointState, FunctionId,
-    Idempotency, IncomingRequest, InstanceState, KindId, LoadingSettings, OnMiss, Permissions, Prices,
-    RequestClass, RequestId, SafetyLimits, Settings, Span, Status, TenantId, Time, WorkerId, ZoneId,
+    AttemptOutcome, AttemptStatus, CellId, ClassId, DeduplicationScope, DiscoveryMode, Endpoint,
+    EndpointState, FunctionId, Idempotency, IncomingRequest, InstanceState, KindId, LoadingSettings, OnMiss,
+    Permissions, Prices, RequestClass, RequestId, SafetyLimits, Settings, Span, TenantId, Time, WorkerId,
+    ZoneId,
 };
 
 /// The class of [`test_settings`] whose requests may be repeated freely.
@@ -116,13 +117,13 @@
 }
 
 /// The end of an attempt after [`ATTEMPT_LATENCY`], without a load report.
-pub(crate) fn attempt_outcome(request: RequestId, attempt: u16, status: Status) -> AttemptOutcome {
+pub(crate) fn attempt_outcome(request: RequestId, attempt: u16, status: AttemptStatus) -> AttemptOutcome {
     AttemptOutcome {
         id: request,
         attempt,
         status,
         latency: ATTEMPT_LATENCY,
-        request_finished: status == Status::Ok,
+        request_finished: status == AttemptStatus::Ok,
         instance_state: InstanceState::Unknown,
         function_in_flight: 0,
         load_report: vec![],
--- a/tests/support/policy_harness.rs
+++ b/tests/support/policy_harness.rs
@@ -2,8 +2,8 @@
 
 use super::policy_fixtures::{attempt_outcome, ready_endpoint};
 use function_scheduler::{
-    Action, Endpoint, EndpointUpdateKind, Event, FunctionId, IncomingRequest, LoadOutcome, Policy, RequestId,
-    Settings, Span, Status, Time, WorkerId,
+    Action, AttemptStatus, Endpoint, EndpointUpdateKind, Event, FunctionId, IncomingRequest, LoadOutcome,
+    LoadStatus, Policy, RequestId, Settings, Span, Time, WorkerId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
             next_attempt: BTreeMap::new(),
         };
         harness.update_endpoints(
-            EndpointUpdateKind::Full,
+            EndpointUpdateKind::Snapshot,
             (1..=workers).map(ready_endpoint).collect(),
         );
         harness
@@ -85,7 +85,7 @@
 
     /// Feeds in an event of the endpoint list.
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
-        self.handle(Event::EndpointsUpdated(kind, endpoints));
+        self.handle(Event::EndpointsUpdated { kind, endpoints });
     }
 
     /// Lets time pass, with a timer event at each step of the clock.
@@ -105,13 +105,18 @@
     }
 
     /// Ends the last attempt that was sent.
-    pub(crate) fn finish_last_attempt(&mut self, status: Status) -> Vec<Action> {
+    pub(crate) fn finish_last_attempt(&mut self, status: AttemptStatus) -> Vec<Action> {
         let last = *self.sent.last().expect("something was sent");
         self.finish_attempt(last.request, last.attempt, status)
     }
 
     /// Ends an attempt that brings no load report.
-    pub(crate) fn finish_attempt(&mut self, request: RequestId, attempt: u16, status: Status) -> Vec<Action> {
+    pub(crate) fn finish_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: u16,
+        status: AttemptStatus,
+    ) -> Vec<Action> {
         self.handle(Event::AttemptFinished(attempt_outcome(request, attempt, status)))
     }
 
@@ -120,9 +125,9 @@
         &mut self,
         worker: WorkerId,
         function: FunctionId,
-        status: Status,
+        status: LoadStatus,
     ) -> Vec<Action> {
-        let instances = u32::from(status == Status::Ok);
+        let instances = u32::from(status == LoadStatus::Ok);
         let outcome = LoadOutcome {
             worker,
             function,
@@ -136,7 +141,7 @@
     /// Answers every attempt of a request with a miss for as long as the policy sends it on; the last actions.
     pub(crate) fn miss_everywhere(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
         while !workers_sent_to(&actions).is_empty() {
-            actions = self.finish_last_attempt(Status::Miss);
+            actions = self.finish_last_attempt(AttemptStatus::Miss);
         }
         actions
     }
