--- a/src/bin/function-scheduler-sim/main.rs
+++ b/src/bin/function-scheduler-sim/main.rs
@@ -29,12 +29,7 @@
         for record in read_records(&batch)? {
             host.handle(batch.now, record, &mut reply);
         }
-        write_reply(&mut output, reply).map_err(WireError::WriteReply)?;
+        reply.write_to(&mut output)?;
     }
     Ok(())
 }
-
-fn write_reply(output: &mut impl Write, reply: Reply) -> io::Result<()> {
-    output.write_all(&reply.into_bytes())?;
-    output.flush()
-}
--- a/src/simulator_codec/batch.rs
+++ b/src/simulator_codec/batch.rs
@@ -8,7 +8,7 @@
 /// Bytes of a batch's header: the clock, the length and the number of records.
 pub(super) const HEADER_LENGTH: usize = 16;
 /// Where the header has the length of everything after this field.
-pub(super) const LENGTH_POSITION: usize = 8;
+const LENGTH_POSITION: usize = 8;
 /// Bytes of the header that this length includes: the number of records.
 const COUNT_LENGTH: usize = 4;
 
@@ -51,7 +51,10 @@
     match read_until_full(input, &mut bytes).map_err(WireError::ReadHeader)? {
         0 => Ok(None),
         HEADER_LENGTH => decode_header(&bytes).map(Some),
-        received => Err(WireError::HeaderCutShort { received }),
+        received => Err(WireError::HeaderCutShort {
+            received,
+            expected: HEADER_LENGTH,
+        }),
     }
 }
 
@@ -65,7 +68,10 @@
     let length = fields.u32()? as usize;
     let record_count = fields.u32()?;
     let Some(records_length) = length.checked_sub(COUNT_LENGTH) else {
-        return Err(WireError::InvalidBatchLength { length });
+        return Err(WireError::InvalidBatchLength {
+            length,
+            position: LENGTH_POSITION,
+        });
     };
     Ok(Header {
         now,
--- a/src/simulator_codec/error.rs
+++ b/src/simulator_codec/error.rs
@@ -1,6 +1,5 @@
 //! What can be wrong with the simulator's pipe, and where.
 
-use super::batch::{HEADER_LENGTH, LENGTH_POSITION};
 use std::fmt;
 use std::io;
 use thiserror::Error;
@@ -15,16 +14,20 @@
     #[error("batch: cannot read: {0}")]
     ReadRecords(#[source] io::Error),
     /// The input ended inside a header.
-    #[error("batch header: cut short after {received} of {HEADER_LENGTH} bytes")]
+    #[error("batch header: cut short after {received} of {expected} bytes")]
     HeaderCutShort {
         /// Bytes of the header that arrived.
         received: usize,
+        /// Bytes of a whole header.
+        expected: usize,
     },
     /// The length in the header is shorter than the rest of the header.
-    #[error("batch header: length {length} at position {LENGTH_POSITION} does not fit")]
+    #[error("batch header: length {length} at position {position} does not fit")]
     InvalidBatchLength {
         /// The length as received.
         length: usize,
+        /// Where the header has it, in bytes from the start of the batch.
+        position: usize,
     },
     /// The input ended inside the records of a batch.
     #[error("batch: cut short after {received} of {expected} bytes of records")]
--- a/src/simulator_codec/mod.rs
+++ b/src/simulator_codec/mod.rs
@@ -8,10 +8,12 @@
 mod codes;
 mod cursor;
 mod error;
+mod ids;
 mod records;
 mod reply;
 
 pub use batch::{Batch, read_batch};
 pub use error::{RecordLocation, WireError};
-pub use records::{InstanceId, ListId, Record, read_records};
+pub use ids::{InstanceId, ListId};
+pub use records::{Record, read_records};
 pub use reply::Reply;
--- a/src/simulator_codec/records.rs
+++ b/src/simulator_codec/records.rs
@@ -4,19 +4,12 @@
 use super::codes::{AnswerRemark, EventCode};
 use super::cursor::FieldCursor;
 use super::error::{RecordLocation, WireError};
+use super::ids::{InstanceId, ListId};
 use crate::{
     AttemptOutcome, CellId, ClassId, Endpoint, EndpointUpdateKind, Event, FunctionId, IncomingRequest,
     KindId, LoadOutcome, RequestId, Span, TenantId, Time, ZoneId,
 };
 
-/// Number of an instance.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct InstanceId(pub u16);
-
-/// Number of an endpoint list; the simulator reuses it for later lists.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ListId(pub u16);
-
 /// A record of a batch.
 #[derive(Debug)]
 pub enum Record {
--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -1,8 +1,10 @@
 //! Encoding of the reply to a batch: action records behind a header.
 
 use super::codes::ActionCode;
-use super::records::InstanceId;
+use super::error::WireError;
+use super::ids::InstanceId;
 use crate::{Action, WorkerId};
+use std::io::Write;
 
 /// Longest text of a `FAULT` record, in bytes.
 const MAX_FAULT_LENGTH: usize = 1000;
@@ -37,6 +39,16 @@
         });
     }
 
+    /// Writes the reply and flushes the output.
+    ///
+    /// # Errors
+    ///
+    /// The output fails.
+    pub fn write_to(self, output: &mut impl Write) -> Result<(), WireError> {
+        let written = output.write_all(&self.into_bytes()).and_then(|()| output.flush());
+        written.map_err(WireError::WriteReply)
+    }
+
     /// The reply as it is sent: the number of records, the length of the records, the records.
     pub fn into_bytes(self) -> Vec<u8> {
         let mut bytes = Vec::new();
