--- /dev/null
+++ b/tests/simulator/errors.rs
@@ -0,0 +1,63 @@
+//! An error of decoding says where in the batch it is, and what is wrong there.
+
+use super::decode;
+use super::support::simulator_wire::{
+    ACCEPT, BATCH_COUNT_LAST_BYTE, BATCH_LENGTH_LAST_BYTE, batch, batch_with_byte, hex, long_accept,
+    short_accept,
+};
+
+#[test]
+fn a_decoding_error_names_the_record_and_its_position() {
+    let accept = hex(ACCEPT);
+    let timer = hex("07 00000006 0003 0000004d");
+    let unknown_status = hex("05 0000001a 0003 5d3a91c4 0000 0a124a07 1f43 63 00000000011a49a0 01 19 00");
+    let unknown_kind = hex("02 00000009 0003 00000029 04 0000");
+    let unknown_state =
+        hex("0c 0000001d 0000 00000001 00 0000 03 0a124a07 1f43 3f800000 0000000000000000 00");
+    let whole = batch(5, std::slice::from_ref(&accept));
+    for (input, expected) in [
+        (whole[..9].to_vec(), "batch header: cut short after 9 of 16 bytes"),
+        (
+            batch_with_byte(&[], BATCH_LENGTH_LAST_BYTE, 3),
+            "batch header: length 3 at position 8 does not fit",
+        ),
+        (
+            whole[..30].to_vec(),
+            "batch: cut short after 14 of 52 bytes of records",
+        ),
+        (
+            batch_with_byte(std::slice::from_ref(&accept), BATCH_COUNT_LAST_BYTE, 2),
+            "record 1 at position 68: missing",
+        ),
+        (
+            batch(5, &[hex("07 00")]),
+            "records at position 16: 4 bytes wanted at its byte 1, it has 2",
+        ),
+        (
+            batch(5, &[long_accept()]),
+            "ACCEPT at position 16: its length 48 does not fit",
+        ),
+        (
+            batch(5, &[short_accept()]),
+            "ACCEPT at position 16: 8 bytes wanted at its byte 26, it has 32",
+        ),
+        (
+            batch(5, &[accept, unknown_status]),
+            "ANSWER at position 68: status 99 at its byte 14 is not known",
+        ),
+        (
+            batch(5, &[unknown_kind]),
+            "SYNC at position 16: list kind 4 at its byte 6 is not known",
+        ),
+        (
+            batch(5, &[unknown_state]),
+            "ROSTER at position 16: mode 3 at its byte 9 is not known",
+        ),
+        (
+            batch_with_byte(&[timer], BATCH_COUNT_LAST_BYTE, 0),
+            "batch: 11 bytes left after record 0",
+        ),
+    ] {
+        assert_eq!(decode(&input).unwrap_err().to_string(), expected);
+    }
+}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,6 +9,7 @@
 pub(crate) mod policy_harness;
 pub(crate) mod raw_worker;
 pub(crate) mod scheduler_process;
+pub(crate) mod simulator_wire;
 pub(crate) mod temp_folder;
 pub(crate) mod worker;
 pub(crate) mod worker_command;
