--- a/tests/client.rs
+++ b/tests/client.rs
@@ -5,17 +5,15 @@
 
 use function_scheduler::backend::WorkerAddress;
 use function_scheduler::client::{Client, CompletedRequest, WorkerEndpoint};
-use function_scheduler::config::parse_site;
 use function_scheduler::scheduler::{Outcome, RequestParameters};
 use function_scheduler::{Endpoint, FunctionId, Span, Time, WorkerId};
-use support::configuration::default_settings;
+use support::settings::{default_settings, site};
 use support::temp_folder::TempFolder;
 use support::worker::{StandInWorker, echo};
 use support::{IDEMPOTENT_CLASS, WAIT_LIMIT};
 
 fn client() -> Client {
-    let settings = default_settings().to_string();
-    Client::new(parse_site(settings.as_bytes()).unwrap(), 7).unwrap()
+    Client::new(site(&default_settings()).unwrap(), 7).unwrap()
 }
 
 fn request(class: &str, client: &Client, body: &[u8]) -> RequestParameters {
--- /dev/null
+++ b/tests/config/main.rs
@@ -0,0 +1,36 @@
+//! The configuration's documents: what they give, what is refused, and how the error names it.
+
+mod operator_file;
+mod scheduler_file;
+mod settings;
+mod sources;
+#[path = "../support/mod.rs"]
+#[allow(dead_code, reason = "each test crate uses a part of the support code")]
+mod support;
+
+use function_scheduler::config::{ConfigDocument, ConfigError, ConfigProblem};
+
+/// Asserts which document and key an error names, and its whole text.
+fn assert_error(error: &ConfigError, document: ConfigDocument, key: &str, text: &str) {
+    assert_eq!(error.to_string(), text);
+    assert_eq!(
+        (error.document, key_of(error)),
+        (document, key.to_owned()),
+        "{text}"
+    );
+}
+
+/// The key that an error names; empty where only its text does.
+fn key_of(error: &ConfigError) -> String {
+    match &error.problem {
+        ConfigProblem::UnknownValue { key, .. } => key.clone(),
+        ConfigProblem::MissingKey { parent, key } => format!("{parent}.{key}"),
+        ConfigProblem::OutOfRange { key, .. }
+        | ConfigProblem::VirtualRouterOutOfRange { key }
+        | ConfigProblem::NotLoopback { key, .. } => (*key).to_owned(),
+        ConfigProblem::InvalidCheckerId { .. } | ConfigProblem::DuplicateCheckerId { .. } => {
+            "checkers.id".to_owned()
+        }
+        _ => String::new(),
+    }
+}
--- /dev/null
+++ b/tests/config/operator_file.rs
@@ -0,0 +1,176 @@
+//! The operator's file: its values and defaults, and what is refused.
+
+use super::assert_error;
+use super::support::settings::{settings_with, site};
+use function_scheduler::config::{
+    CheckerConfig, CheckerEndpoint, ConfigDocument, ConfigProblem, JsonRpcConfig, VrrpConfig,
+    parse_operator_config,
+};
+use function_scheduler::*;
+use serde_json::json;
+use std::path::PathBuf;
+
+const VRRP: &str =
+    "[vrrp]\nvrid = 1\npriority = 1\nbind = \"127.0.0.1:1\"\npeers = []\naddress = \"127.0.0.9\"\n";
+
+/// `deploy/jsonrpc.toml` with all that it shows in comments switched on.
+fn example_operator_file() -> String {
+    let example = include_str!("../../deploy/jsonrpc.toml")
+        .replace("# [", "[")
+        .replace("# id", "id");
+    let commented = "socket zone kind weight vrid priority interval_cs preempt bind peers address";
+    commented.split(' ').fold(example, |text, key| {
+        text.replace(&format!("# {key} ="), &format!("{key} ="))
+    })
+}
+
+/// [`VRRP`] with a part of it replaced.
+fn vrrp(from: &str, to: &str) -> String {
+    VRRP.replace(from, to)
+}
+
+/// A JSON-RPC frontend with one more line.
+fn jsonrpc(line: &str) -> String {
+    format!("[jsonrpc]\nsocket = \"s\"\n{line}")
+}
+
+/// A JSON-RPC worker with this id.
+fn checker(id: &str) -> String {
+    format!("[[checkers]]\nid = \"{id}\"\nsocket = \"s\"\n")
+}
+
+#[test]
+fn the_operators_file_is_read_and_its_oddities_named() {
+    let operator = parse_operator_config(&example_operator_file()).unwrap();
+    assert_eq!(operator.jsonrpc.unwrap().mode, 0o660);
+    assert_eq!(
+        (operator.checkers.len(), operator.vrrp.unwrap().virtual_router_id),
+        (1, 7)
+    );
+    assert!(
+        parse_operator_config("").unwrap().jsonrpc.is_none(),
+        "off where nothing is said"
+    );
+    let cases = [
+        ("[jsonrpc]".to_owned(), "socket"),
+        (jsonrpc("mode = \"999\""), "octal"),
+        (jsonrpc("max_line = 1"), "max_line"),
+        (jsonrpc("max_lines = 1"), "max_lines"),
+        (checker("c1"), "checker id 'c1'"),
+        (vrrp("vrid = 1", "vrid = 0"), "start from 1"),
+        (vrrp("127.0.0.1:1", "10.0.0.1:1"), "loopback"),
+    ];
+    for (text, word) in cases {
+        let error = parse_operator_config(&text).unwrap_err().to_string();
+        assert!(error.contains(word), "{text}: {error}");
+    }
+}
+
+#[test]
+fn the_operators_file_gives_these_values_and_defaults() {
+    let text =
+        format!("[jsonrpc]\nsocket = \"s\"\n[[checkers]]\nid = \"s-0000c001\"\nsocket = \"c\"\n{VRRP}");
+    let operator = parse_operator_config(&text).unwrap();
+    let JsonRpcConfig {
+        socket,
+        mode,
+        max_clients,
+        max_line_bytes,
+    } = operator.jsonrpc.clone().unwrap();
+    assert_eq!(
+        (socket, mode, max_clients, max_line_bytes),
+        (PathBuf::from("s"), 0o660, 64, 65536)
+    );
+    let checker = CheckerConfig {
+        worker: WorkerId(0xc001),
+        socket: "c".into(),
+        zone: String::new(),
+        kind: String::new(),
+        weight: 1.0,
+    };
+    assert_eq!(operator.checkers, [checker]);
+    let vrrp = VrrpConfig {
+        virtual_router_id: 1,
+        priority: 1,
+        interval_centiseconds: 100,
+        preempt: true,
+        bind: "127.0.0.1:1".parse().unwrap(),
+        peers: vec![],
+        address: "127.0.0.9".parse().unwrap(),
+    };
+    assert_eq!(operator.vrrp, Some(vrrp));
+}
+
+#[test]
+fn checkers_become_endpoints_in_the_zone_and_of_the_kind_that_they_name() {
+    let mut settings = settings_with("zones", json!(["a", "b"]));
+    settings["kinds"] = json!(["k", "l"]);
+    let text = "[[checkers]]\nid = \"s-0000c001\"\nsocket = \"c\"\nzone = \"b\"\nkind = \"l\"\nweight = 2.5\n\
+        [[checkers]]\nid = \"s-0000c002\"\nsocket = \"d\"\nzone = \"unknown\"";
+    let endpoints = parse_operator_config(text)
+        .unwrap()
+        .checker_endpoints(&site(&settings).unwrap());
+    let endpoint = |worker, zone, kind, weight| Endpoint {
+        worker: WorkerId(worker),
+        zone: ZoneId(zone),
+        kind: KindId(kind),
+        weight,
+        ..Endpoint::default()
+    };
+    let expected = [
+        CheckerEndpoint {
+            endpoint: endpoint(0xc001, 1, 1, 2.5),
+            socket: "c".into(),
+        },
+        CheckerEndpoint {
+            endpoint: endpoint(0xc002, 0, 0, 1.0),
+            socket: "d".into(),
+        },
+    ];
+    assert_eq!(endpoints, expected);
+}
+
+#[test]
+fn an_error_in_the_operators_file_names_the_file_the_key_and_the_problem() {
+    const LINE: &str = "operator's file: jsonrpc.max_line is not between 1024 and 1048576";
+    const RANGE: &str = "operator's file: vrrp.vrid, priority and interval_cs start from 1";
+    const LOOPBACK: &str = "operator's file: vrrp.bind and peers are loopback addresses";
+    const CHECKER_ID: &str = "operator's file: checker id 's-c001' is odd or stands twice";
+    const CHECKER_TWICE: &str = "operator's file: checker id 's-0000c001' is odd or stands twice";
+    let max_line = |limit: u32| jsonrpc(&format!("max_line = {limit}"));
+    let interval = |centiseconds: u32| VRRP.to_owned() + &format!("interval_cs = {centiseconds}");
+    let peer = vrrp("peers = []", "peers = [\"10.0.0.1:1\"]");
+    let cases = [
+        (max_line(1023), "jsonrpc.max_line", LINE),
+        (max_line(1_048_577), "jsonrpc.max_line", LINE),
+        (vrrp("vrid = 1", "vrid = 0"), "vrrp.vrid", RANGE),
+        (vrrp("priority = 1", "priority = 0"), "vrrp.priority", RANGE),
+        (interval(0), "vrrp.interval_cs", RANGE),
+        (interval(4096), "vrrp.interval_cs", RANGE),
+        (vrrp("127.0.0.1:1", "10.0.0.1:1"), "vrrp.bind", LOOPBACK),
+        (peer, "vrrp.peers", LOOPBACK),
+        (checker("s-c001"), "checkers.id", CHECKER_ID),
+        (checker("s-0000c001").repeat(2), "checkers.id", CHECKER_TWICE),
+    ];
+    for (text, key, expected) in cases {
+        let error = parse_operator_config(&text).unwrap_err();
+        assert_error(&error, ConfigDocument::OperatorFile, key, expected);
+    }
+    assert!(parse_operator_config(&max_line(1024)).is_ok());
+    assert!(parse_operator_config(&max_line(1_048_576)).is_ok());
+}
+
+#[test]
+fn an_error_of_toml_names_the_file_the_line_and_the_problem() {
+    let error = parse_operator_config("jsonrpc = 1").unwrap_err();
+    assert!(matches!(error.problem, ConfigProblem::Toml(_)));
+    let text = error.to_string();
+    assert!(
+        text.starts_with("operator's file: TOML parse error at line 1"),
+        "{text}"
+    );
+    assert!(
+        text.contains("invalid type: integer `1`, expected struct JsonRpc"),
+        "{text}"
+    );
+}
--- /dev/null
+++ b/tests/config/sources.rs
@@ -0,0 +1,32 @@
+//! The files that the configuration is read from.
+
+use function_scheduler::config::{ConfigDocument, ConfigProblem, ConfigSources};
+use std::path::PathBuf;
+
+#[test]
+fn a_file_that_cannot_be_read_is_named() {
+    let sources = |scheduler: &str, operator: Option<&str>| ConfigSources {
+        scheduler_file: scheduler.into(),
+        operator_file: operator.map(PathBuf::from),
+    };
+    for (sources, document, wanted) in [
+        (
+            sources("/nowhere/config.json", None),
+            ConfigDocument::SchedulerFile,
+            "/nowhere/config.json",
+        ),
+        (
+            sources("/nowhere", Some("/nowhere/op.toml")),
+            ConfigDocument::OperatorFile,
+            "/nowhere/op.toml",
+        ),
+    ] {
+        let error = sources.load().unwrap_err();
+        assert_eq!(error.document, document);
+        let expected = format!("{document}: cannot read {wanted}: No such file or directory (os error 2)");
+        assert_eq!(error.to_string(), expected);
+        assert!(
+            matches!(error.problem, ConfigProblem::Unreadable { path, .. } if path.as_os_str() == wanted)
+        );
+    }
+}
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -16,8 +16,8 @@
 };
 use serde_json::{Value, json};
 use support::IDEMPOTENT_CLASS;
-use support::configuration::default_settings;
 use support::raw_worker::RawWorker;
+use support::settings::default_settings;
 
 const WORKER: WorkerId = WorkerId(1);
 const CLIENT_CONNECTION: ConnectionId = ConnectionId(1);
--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -1,13 +1,12 @@
 //! Clients that cancel a request, close or half-close their connection: their requests are cancelled and get no answer.
 //! Those of a client that sends malformed input are cancelled and failed.
 
-use crate::support::configuration::{
-    Configuration, default_settings, large_fleet_settings, slow_connect_settings,
-};
+use crate::support::configuration::Configuration;
 use crate::support::discovery::{StandInDiscovery, WorkerState, change_event};
 use crate::support::frame_client::{FrameClient, failed, request, served};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::CommandKind;
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -1,9 +1,10 @@
 //! Limits on descriptors, and on the number of connections to a worker.
 
-use crate::support::configuration::{Configuration, default_settings};
+use crate::support::configuration::Configuration;
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{FrameClient, request, served};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::default_settings;
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -1,8 +1,8 @@
 //! An answer ends only the attempt that it belongs to: repeated, late and unknown answers are ignored.
 
-use crate::support::configuration::large_fleet_settings;
 use crate::support::frame_client::{FrameClient, failed, request, served};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::large_fleet_settings;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, WorkerStatus};
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -1,14 +1,13 @@
 //! The watch of the endpoint list: resuming, silence, moves to another address, and what its events do to requests.
 
-use crate::support::configuration::{
-    Configuration, default_settings, large_fleet_settings, slow_connect_settings,
-};
+use crate::support::configuration::Configuration;
 use crate::support::discovery::{
     StandInDiscovery, WorkerState, change_event, full_list_event, keep_alive_frame,
 };
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
+use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::CommandKind;
 use crate::support::{IDEMPOTENT_CLASS, refusing_address, request_id};
--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -1,9 +1,10 @@
 //! The same requests get the same answers and cause the same worker commands on both front ends.
 
-use crate::support::configuration::{Configuration, default_settings};
+use crate::support::configuration::Configuration;
 use crate::support::frame_client::{self, FrameClient, ReceivedFrame, code};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, operator_file};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::default_settings;
 use crate::support::worker::{CommandLog, StandInWorker, echo};
 use crate::support::worker_command::{CommandKind, ReceivedCommand, WorkerReply, WorkerStatus};
 use crate::support::{IDEMPOTENT_CLASS, KEYED_CLASS, request_id};
--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -1,8 +1,9 @@
 //! The JSON-RPC front end: messages, batches, errors, limits and its socket.
 
-use crate::support::configuration::{Configuration, default_settings};
+use crate::support::configuration::Configuration;
 use crate::support::jsonrpc_client::{JsonRpcClient, operator_file, request};
 use crate::support::scheduler_process::{SchedulerProcess, run_to_exit};
+use crate::support::settings::default_settings;
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::{CommandKind, WorkerStatus};
--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -1,9 +1,10 @@
 //! Workers that speak JSON-RPC on Unix sockets.
 
-use crate::support::configuration::{Configuration, default_settings, health_check_settings};
+use crate::support::configuration::Configuration;
 use crate::support::frame_client::{FrameClient, request as frame_request, served};
 use crate::support::jsonrpc_client::{JsonRpcClient, operator_file, request};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::{default_settings, health_check_settings};
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, ReceivedCommand, WorkerStatus};
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,11 +1,12 @@
 //! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
-use crate::support::configuration::{Configuration, large_fleet_settings};
+use crate::support::configuration::Configuration;
 use crate::support::discovery::{StandInDiscovery, WorkerState, change_event};
 use crate::support::frame_client::{FrameClient, failed, rejected, request, served};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
 use crate::support::raw_worker::RawWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
+use crate::support::settings::large_fleet_settings;
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, WorkerStatus};
--- a/tests/server/retries.rs
+++ b/tests/server/retries.rs
@@ -1,9 +1,10 @@
 //! The deduplication window of keyed requests, on both front ends.
 
-use crate::support::configuration::{Configuration, deduplication_window_settings};
+use crate::support::configuration::Configuration;
 use crate::support::frame_client::{FrameClient, request};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, operator_file};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::deduplication_window_settings;
 use crate::support::worker::StandInWorker;
 use crate::support::{IDEMPOTENCY_KEY, KEYED_CLASS, REQUEST_ID};
 use serde_json::json;
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown on SIGTERM: clients are notified, open and new requests are answered, and the program ends.
 
-use crate::support::configuration::{Configuration, slow_connect_settings};
+use crate::support::configuration::Configuration;
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{
     FrameClient, ReceivedFrame, code, decode_frames, frame, frame_type, no_new_requests, request, served,
@@ -8,6 +8,7 @@
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME, operator_file};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
+use crate::support::settings::slow_connect_settings;
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::ReceivedCommand;
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, refusing_address, request_id};
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -1,9 +1,9 @@
 //! Connections to workers that are refused, reset, closed while idle, unreadable or silent, and their requests.
 
-use crate::support::configuration::{default_settings, health_check_settings, large_fleet_settings};
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
 use crate::support::raw_worker::{RawWorker, UnacceptingWorker, success_line};
 use crate::support::scheduler_process::SchedulerProcess;
+use crate::support::settings::{default_settings, health_check_settings, large_fleet_settings};
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::{CommandKind, ReceivedCommand};
 use crate::support::{IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, WAIT_LIMIT, refusing_address, request_id};
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -1,8 +1,8 @@
 //! The configuration of a scheduler process under test.
 
 use super::scheduler_process::SchedulerProcess;
+use super::settings::default_settings;
 use super::temp_folder::TempFolder;
-use super::{IDEMPOTENT_CLASS, KEYED_CLASS};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -118,83 +118,3 @@
         "boot_ms": 0,
     })
 }
-
-/// Settings of a lone scheduler with one class that is idempotent and one that is keyed.
-pub(crate) fn default_settings() -> Value {
-    json!({
-        "fleetSize": 1,
-        "index": 0,
-        "zone": 0,
-        "tickNs": 2_000_000,
-        "zones": ["a"],
-        "kinds": ["std"],
-        "classes": [class(IDEMPOTENT_CLASS, "retryable"), class(KEYED_CLASS, "dedup")],
-        "bounds": {
-            "mostTries": 3,
-            "mayCancel": true,
-            "retryAfter": true,
-            "maxRetryAfterNs": 500_000_000,
-            "multiplex": 100,
-            "maxOpen": 1000,
-            "idleCloseNs": 15_000_000_000u64,
-            "connectTimeoutNs": 250_000_000,
-        },
-        "contract": {
-            "coldFrom": 0.15,
-            "coldNs": 15_000_000_000u64,
-            "fallMultiple": 3.0,
-            "fallNs": 2_000_000_000,
-            "drainGraceNs": 2_000_000_000,
-        },
-        "familyInfo": {
-            "keepNs": 8_700_000_000u64,
-            "notLoaded": "load",
-            "mayOrder": true,
-            "loadSpanNs": 5_000_000_000u64,
-            "loadsAnyway": 3.0,
-            "loadPart": 0.3,
-            "loadWaitNs": 10_000_000_000u64,
-            "memoryMbByKind": [18432.0],
-        },
-    })
-}
-
-fn class(name: &str, effect: &str) -> Value {
-    json!({
-        "name": name,
-        "deadlineNs": 3_000_000_000u64,
-        "objectiveNs": 1_000_000_000u64,
-        "worth": 1.0,
-        "effect": effect,
-        "group": "all",
-        "repeatWindowNs": 6_000_000_000u64,
-    })
-}
-
-/// Settings of one scheduler in a large fleet: its requests to one worker share a connection.
-pub(crate) fn large_fleet_settings() -> Value {
-    let mut settings = default_settings();
-    settings["fleetSize"] = json!(100);
-    settings
-}
-
-/// The settings of a large fleet, with a connect timeout that no test reaches.
-pub(crate) fn slow_connect_settings() -> Value {
-    let mut settings = large_fleet_settings();
-    settings["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
-    settings
-}
-
-/// Settings under which the scheduler sends health checks to silent workers.
-pub(crate) fn health_check_settings() -> Value {
-    let mut settings = default_settings();
-    settings["bounds"]["probes"] = json!(true);
-    settings
-}
-
-/// Settings in which the keyed class has this deduplication window.
-pub(crate) fn deduplication_window_settings(nanoseconds: u64) -> Value {
-    let mut settings = default_settings();
-    settings["classes"][1]["repeatWindowNs"] = json!(nanoseconds);
-    settings
-}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,6 +9,7 @@
 pub(crate) mod policy_harness;
 pub(crate) mod raw_worker;
 pub(crate) mod scheduler_process;
+pub(crate) mod settings;
 pub(crate) mod simulator_wire;
 pub(crate) mod temp_folder;
 pub(crate) mod worker;
@@ -29,7 +30,7 @@
 /// The idempotency key that every request of a stand-in client carries.
 pub(crate) const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-/// The class whose requests may be repeated freely, as named in [`configuration::default_settings`].
+/// The class whose requests may be repeated freely, as named in [`settings::default_settings`].
 pub(crate) const IDEMPOTENT_CLASS: &str = "practice-check";
 
 /// The class whose requests may be repeated within the deduplication window of their key.
