--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -2,7 +2,8 @@
 
 use crate::support::configuration::Configuration;
 use crate::support::jsonrpc_client::{JsonRpcClient, operator_file, request};
-use crate::support::scheduler_process::{SchedulerProcess, run_to_exit};
+use crate::support::program::run_to_exit;
+use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::{StandInWorker, echo};
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -1,11 +1,12 @@
 //! The configuration of a scheduler process under test.
 
+use super::program;
 use super::scheduler_process::SchedulerProcess;
 use super::settings::default_settings;
 use super::temp_folder::TempFolder;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
-use std::process::Stdio;
+use std::process::{Command, Stdio};
 
 /// Builds the configuration files of a scheduler process and starts it.
 pub(crate) struct Configuration {
@@ -57,31 +58,52 @@
         }
     }
 
-    /// Writes the files and starts the process; returns once it listens.
+    /// Starts the process; returns once it listens.
     pub(crate) fn start(self) -> SchedulerProcess {
         let config = self.json();
-        SchedulerProcess::spawn(self.folder, config, self.operator_file)
+        program::write_config(&self.folder, &config.to_string());
+        let command = match &self.operator_file {
+            Some(text) => {
+                program::write_operator_file(&self.folder, text);
+                program::program_with_operator_file(&self.folder)
+            }
+            None => program::program(&self.folder),
+        };
+        SchedulerProcess::spawn_logged(command, self.folder, config)
     }
 
-    /// Writes the files and starts the process on this address, with this standard error; returns at once.
+    /// Starts the process on this address, with this standard error; returns at once.
     pub(crate) fn start_with_stderr(self, listen: SocketAddr, stderr: Stdio) -> SchedulerProcess {
-        let mut config = self.json();
-        config["listen"] = json!(listen.to_string());
-        SchedulerProcess::spawn_with_stderr(self.folder, config, listen, stderr)
+        let mut command = program::program(&self.folder);
+        command.stderr(stderr);
+        self.start_at(listen, command)
     }
 
     /// Starts the process on this address with so few descriptors; returns at once.
     pub(crate) fn start_with_descriptors(self, listen: SocketAddr, limit: usize) -> SchedulerProcess {
-        let mut config = self.json();
-        config["listen"] = json!(listen.to_string());
-        SchedulerProcess::spawn_with_descriptors(self.folder, config, listen, limit)
+        let command = program::program_with_descriptors(&self.folder, limit);
+        self.start_at(listen, command)
     }
 
-    /// Starts the process on this address with a named pipe as its configuration file, which it therefore waits for.
+    fn start_at(self, listen: SocketAddr, command: Command) -> SchedulerProcess {
+        let config = self.json_at(listen);
+        program::write_config(&self.folder, &config.to_string());
+        SchedulerProcess::spawn(command, self.folder, config, listen)
+    }
+
+    /// Starts the process on this address with a named pipe as its configuration file: the process waits until
+    /// [`SchedulerProcess::write_config_in_background`] writes it. Returns at once.
     pub(crate) fn start_with_config_pipe(self, listen: SocketAddr) -> SchedulerProcess {
+        program::make_config_pipe(&self.folder);
+        let command = program::program(&self.folder);
+        let config = self.json_at(listen);
+        SchedulerProcess::spawn(command, self.folder, config, listen)
+    }
+
+    fn json_at(&self, listen: SocketAddr) -> Value {
         let mut config = self.json();
         config["listen"] = json!(listen.to_string());
-        SchedulerProcess::spawn_with_config_pipe(self.folder, config, listen)
+        config
     }
 
     fn json(&self) -> Value {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,6 +7,8 @@
 pub(crate) mod jsonrpc_client;
 pub(crate) mod policy_fixtures;
 pub(crate) mod policy_harness;
+pub(crate) mod process_log;
+pub(crate) mod program;
 pub(crate) mod raw_worker;
 pub(crate) mod scheduler_process;
 pub(crate) mod settings;
--- /dev/null
+++ b/tests/support/process_log.rs
@@ -0,0 +1,96 @@
+//! What a scheduler process logs: its standard error, collected while the test runs.
+
+use super::WAIT_LIMIT;
+use std::io::{BufRead, BufReader, Read};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How the log is named that the counters are printed in.
+const COUNTERS: &str = "function-scheduler: counters";
+/// Time between two looks at the log.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// How the process took a reload.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ReloadResult {
+    Applied,
+    Refused,
+}
+
+/// A log that another thread writes.
+#[derive(Clone, Default)]
+pub(super) struct ProcessLog {
+    text: Arc<Mutex<String>>,
+}
+
+impl ProcessLog {
+    /// Collects the lines of this output until it ends.
+    pub(super) fn collect(output: impl Read + Send + 'static) -> ProcessLog {
+        let log = ProcessLog::default();
+        let shared = log.clone();
+        thread::spawn(move || {
+            for line in BufReader::new(output).lines().map_while(Result::ok) {
+                let mut text = shared.text.lock().unwrap();
+                text.push_str(&line);
+                text.push('\n');
+            }
+        });
+        log
+    }
+
+    /// The log so far.
+    fn text(&self) -> String {
+        self.text.lock().unwrap().clone()
+    }
+
+    /// Waits until `find` finds something in the log.
+    pub(super) fn wait_until<T>(&self, what: &str, find: impl Fn(&str) -> Option<T>) -> T {
+        let start = Instant::now();
+        loop {
+            let text = self.text();
+            if let Some(found) = find(&text) {
+                return found;
+            }
+            assert!(start.elapsed() < WAIT_LIMIT, "no '{what}' in the log:\n{text}");
+            thread::sleep(POLL_INTERVAL);
+        }
+    }
+
+    /// Lets `trigger` have the process log the result of a reload, and waits for that.
+    pub(super) fn next_reload_result(&self, trigger: impl FnOnce()) -> ReloadResult {
+        let earlier = reload_results(&self.text()).len();
+        trigger();
+        self.wait_until("reload", |text| {
+            reload_results(text).get(earlier..)?.last().copied()
+        })
+    }
+
+    /// Lets `trigger` have the process print its counters, and waits for the line with them.
+    pub(super) fn next_counters(&self, trigger: impl FnOnce()) -> String {
+        let earlier = counter_lines(&self.text()).count();
+        trigger();
+        self.wait_until(COUNTERS, |text| {
+            counter_lines(text).skip(earlier).last().map(str::to_owned)
+        })
+    }
+}
+
+/// The lines with counters in a log, in order.
+fn counter_lines(log: &str) -> impl Iterator<Item = &str> {
+    log.lines().filter(|line| line.contains(COUNTERS))
+}
+
+/// The results of all reloads in a log, in order.
+fn reload_results(log: &str) -> Vec<ReloadResult> {
+    let result = |line: &str| {
+        if line.contains("function-scheduler: reloaded") {
+            Some(ReloadResult::Applied)
+        } else if line.contains("reload refused") {
+            Some(ReloadResult::Refused)
+        } else {
+            None
+        }
+    };
+    log.lines().filter_map(result).collect()
+}
--- /dev/null
+++ b/tests/support/program.rs
@@ -0,0 +1,67 @@
+//! The scheduler program and the files that it reads, which stand in a folder of the test.
+
+use super::temp_folder::TempFolder;
+use serde_json::Value;
+use std::process::{Command, ExitStatus, Stdio};
+use std::thread;
+
+const CONFIG_FILE: &str = "config.json";
+const OPERATOR_FILE: &str = "operator.toml";
+const PROGRAM: &str = env!("CARGO_BIN_EXE_function-scheduler");
+/// Closes what a runner of the tests has left open beside the standard streams, then runs the command.
+const WITH_STANDARD_STREAMS_ONLY: &str = "exec 3<&- 4<&- 5<&- 6<&- 7<&- 8<&- 9<&-; exec \"$0\" \"$@\"";
+
+/// The program with the configuration of this folder. Its standard error goes nowhere.
+pub(super) fn program(folder: &TempFolder) -> Command {
+    configured(Command::new(PROGRAM), folder)
+}
+
+/// [`program`] with the operator's file of this folder.
+pub(super) fn program_with_operator_file(folder: &TempFolder) -> Command {
+    let mut command = program(folder);
+    command.arg("--operator").arg(folder.file(OPERATOR_FILE));
+    command
+}
+
+/// [`program`] with so few descriptors, the standard streams among them.
+pub(super) fn program_with_descriptors(folder: &TempFolder, limit: usize) -> Command {
+    let mut command = Command::new("sh");
+    command.args(["-c", WITH_STANDARD_STREAMS_ONLY, "prlimit"]);
+    command.arg(format!("--nofile={limit}:")).arg(PROGRAM);
+    configured(command, folder)
+}
+
+fn configured(mut command: Command, folder: &TempFolder) -> Command {
+    command.env("GW_CONFIG", folder.file(CONFIG_FILE));
+    command.stdin(Stdio::null()).stderr(Stdio::null());
+    command
+}
+
+/// Writes the configuration file.
+pub(super) fn write_config(folder: &TempFolder, text: &str) {
+    std::fs::write(folder.file(CONFIG_FILE), text).unwrap();
+}
+
+/// Makes a named pipe of the configuration file: it can only be read while somebody writes it.
+pub(super) fn make_config_pipe(folder: &TempFolder) {
+    let made = Command::new("mkfifo").arg(folder.file(CONFIG_FILE)).status();
+    assert!(made.unwrap().success());
+}
+
+/// Writes the configuration file in another thread, which may have to wait for a reader.
+pub(super) fn write_config_in_background(folder: &TempFolder, text: String) {
+    let path = folder.file(CONFIG_FILE);
+    thread::spawn(move || std::fs::write(path, text));
+}
+
+/// Writes the operator's file.
+pub(super) fn write_operator_file(folder: &TempFolder, text: &str) {
+    std::fs::write(folder.file(OPERATOR_FILE), text).unwrap();
+}
+
+/// Runs the program with these files until it ends, which it must do by itself.
+pub(crate) fn run_to_exit(folder: &TempFolder, config: &Value, operator_file: &str) -> ExitStatus {
+    write_config(folder, &config.to_string());
+    write_operator_file(folder, operator_file);
+    program_with_operator_file(folder).status().unwrap()
+}
