--- a/src/client.rs
+++ b/src/client.rs
@@ -13,7 +13,7 @@
 //!
 //! # let folder = std::env::temp_dir().join(format!("function-scheduler-doc-{}", std::process::id()));
 //! # std::fs::create_dir(&folder)?;
-//! # let path = folder.join("checker.sock");
+//! # let path = folder.join("worker.sock");
 //! // A worker that answers each request with the same body.
 //! let listener = std::os::unix::net::UnixListener::bind(&path)?;
 //! std::thread::spawn(move || {
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -96,15 +96,15 @@
         /// The address.
         address: SocketAddr,
     },
-    /// A checker's id is not `s-` and 8 hexadecimal digits.
-    #[error("checker id '{id}' is odd or stands twice")]
-    InvalidCheckerId {
+    /// The id of a JSON-RPC worker is not `s-` and 8 hexadecimal digits.
+    #[error("checkers.id '{id}' is not 's-' and 8 hexadecimal digits")]
+    InvalidJsonRpcWorkerId {
         /// The id.
         id: String,
     },
-    /// Two checkers have the same id.
-    #[error("checker id '{id}' is odd or stands twice")]
-    DuplicateCheckerId {
+    /// Two JSON-RPC workers have the same id.
+    #[error("checkers.id '{id}' is given twice")]
+    DuplicateJsonRpcWorkerId {
         /// The id.
         id: String,
     },
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,8 @@
 
 pub use error::{ConfigDocument, ConfigError, ConfigProblem};
 pub use operator_file::{
-    CheckerConfig, CheckerEndpoint, JsonRpcConfig, OperatorConfig, VrrpConfig, parse_operator_config,
+    JsonRpcConfig, JsonRpcWorkerConfig, JsonRpcWorkerEndpoint, OperatorConfig, VrrpConfig,
+    parse_operator_config,
 };
 pub use scheduler_file::{SchedulerConfig, parse_scheduler_config};
 pub use settings::{parse_settings, parse_site};
--- a/src/config/operator_file.rs
+++ b/src/config/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operator's TOML file, which the option `--operator` names: the JSON-RPC frontend, checkers on this
-//! host, and VRRP. `deploy/jsonrpc.toml` shows its form.
+//! The operator's TOML file, which the option `--operator` names: the JSON-RPC frontend, JSON-RPC workers
+//! of this host, and VRRP. `deploy/jsonrpc.toml` shows its form.
 
 use super::error::{ConfigDocument, ConfigError, ConfigProblem};
 use super::parse_worker_id;
@@ -30,8 +30,8 @@
 pub struct OperatorConfig {
     /// The JSON-RPC frontend; off where absent.
     pub jsonrpc: Option<JsonRpcConfig>,
-    /// Checkers on Unix sockets of this host.
-    pub checkers: Vec<CheckerConfig>,
+    /// Workers on Unix sockets of this host that speak JSON-RPC.
+    pub jsonrpc_workers: Vec<JsonRpcWorkerConfig>,
     /// Which scheduler takes new requests on the JSON-RPC frontend; without it, this one does.
     pub vrrp: Option<VrrpConfig>,
 }
@@ -55,8 +55,8 @@
 
 /// A worker on this host that speaks JSON-RPC.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CheckerConfig {
-    /// The worker; unlike any that the event bus names.
+pub struct JsonRpcWorkerConfig {
+    /// The worker; unlike any that the discovery service names.
     pub worker: WorkerId,
     /// The Unix socket on which it listens.
     pub socket: PathBuf,
@@ -91,10 +91,10 @@
     pub address: Ipv4Addr,
 }
 
-/// A checker as a line of the endpoint list.
+/// A JSON-RPC worker as an entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CheckerEndpoint {
-    /// Its line.
+pub struct JsonRpcWorkerEndpoint {
+    /// Its entry.
     pub endpoint: Endpoint,
     /// The Unix socket on which it listens.
     pub socket: PathBuf,
@@ -113,10 +113,10 @@
     let document: OperatorDocument = toml::from_str(toml).map_err(Box::new)?;
     document.jsonrpc.as_ref().map_or(Ok(()), check_jsonrpc)?;
     document.vrrp.as_ref().map_or(Ok(()), check_vrrp)?;
-    let checkers = parse_checkers(document.checkers)?;
+    let jsonrpc_workers = parse_jsonrpc_workers(document.jsonrpc_workers)?;
     Ok(OperatorConfig {
         jsonrpc: document.jsonrpc,
-        checkers,
+        jsonrpc_workers,
         vrrp: document.vrrp,
     })
 }
@@ -156,17 +156,19 @@
     Err(ConfigProblem::NotLoopback { key, address })
 }
 
-fn parse_checkers(documents: Vec<CheckerDocument>) -> Result<Vec<CheckerConfig>, ConfigProblem> {
+fn parse_jsonrpc_workers(
+    documents: Vec<JsonRpcWorkerDocument>,
+) -> Result<Vec<JsonRpcWorkerConfig>, ConfigProblem> {
     let mut seen = BTreeSet::new();
-    let mut checkers = Vec::with_capacity(documents.len());
+    let mut workers = Vec::with_capacity(documents.len());
     for document in documents {
         let Some(worker) = parse_worker_id(&document.id) else {
-            return Err(ConfigProblem::InvalidCheckerId { id: document.id });
+            return Err(ConfigProblem::InvalidJsonRpcWorkerId { id: document.id });
         };
         if !seen.insert(worker) {
-            return Err(ConfigProblem::DuplicateCheckerId { id: document.id });
+            return Err(ConfigProblem::DuplicateJsonRpcWorkerId { id: document.id });
         }
-        checkers.push(CheckerConfig {
+        workers.push(JsonRpcWorkerConfig {
             worker,
             socket: document.socket,
             zone: document.zone,
@@ -174,21 +176,21 @@
             weight: document.weight,
         });
     }
-    Ok(checkers)
+    Ok(workers)
 }
 
 impl OperatorConfig {
-    /// The checkers as lines of the endpoint list.
-    pub fn checker_endpoints(&self, site: &Site) -> Vec<CheckerEndpoint> {
-        self.checkers
+    /// The JSON-RPC workers as entries of the endpoint list.
+    pub fn jsonrpc_worker_endpoints(&self, site: &Site) -> Vec<JsonRpcWorkerEndpoint> {
+        self.jsonrpc_workers
             .iter()
-            .map(|checker| checker.endpoint(site))
+            .map(|worker| worker.endpoint(site))
             .collect()
     }
 }
 
-impl CheckerConfig {
-    fn endpoint(&self, site: &Site) -> CheckerEndpoint {
+impl JsonRpcWorkerConfig {
+    fn endpoint(&self, site: &Site) -> JsonRpcWorkerEndpoint {
         let endpoint = Endpoint {
             worker: self.worker,
             zone: site.zone_id(&self.zone),
@@ -196,7 +198,7 @@
             weight: self.weight,
             ..Endpoint::default()
         };
-        CheckerEndpoint {
+        JsonRpcWorkerEndpoint {
             endpoint,
             socket: self.socket.clone(),
         }
@@ -210,13 +212,14 @@
 #[serde(deny_unknown_fields, default, expecting = "struct Operator")]
 struct OperatorDocument {
     jsonrpc: Option<JsonRpcConfig>,
-    checkers: Vec<CheckerDocument>,
+    #[serde(rename = "checkers")]
+    jsonrpc_workers: Vec<JsonRpcWorkerDocument>,
     vrrp: Option<VrrpConfig>,
 }
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Checker")]
-struct CheckerDocument {
+#[serde(deny_unknown_fields, expecting = "struct JsonRpcWorker")]
+struct JsonRpcWorkerDocument {
     id: String,
     socket: PathBuf,
     #[serde(default)]
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::Server;
 use crate::backend::{Pool, WorkerAddress};
-use crate::config::{CheckerEndpoint, OperatorConfig};
+use crate::config::{JsonRpcWorkerEndpoint, OperatorConfig};
 use crate::discovery::{AddressChange, EndpointChange, WatchEvent};
 use crate::model::{Endpoint, Site, Time};
 use tracing::debug;
@@ -37,7 +37,7 @@
 
     /// Replaces the statically configured workers.
     pub(super) fn set_configured_workers(&mut self, now: Time, operator: &OperatorConfig) {
-        let configured = assign_checker_addresses(operator, &self.config.site, &mut self.pool);
+        let configured = assign_jsonrpc_worker_addresses(operator, &self.config.site, &mut self.pool);
         if let Some(change) = self.discovery.set_configured(configured) {
             self.apply_endpoint_change(now, change);
         }
@@ -72,14 +72,14 @@
     }
 }
 
-/// Gives the pool the addresses of the operator's checkers; their entries in the endpoint list.
-pub(super) fn assign_checker_addresses(
+/// Gives the pool the addresses of the operator's JSON-RPC workers; their entries in the endpoint list.
+pub(super) fn assign_jsonrpc_worker_addresses(
     operator: &OperatorConfig,
     site: &Site,
     pool: &mut Pool,
 ) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
-    for CheckerEndpoint { endpoint, socket } in operator.checker_endpoints(site) {
+    for JsonRpcWorkerEndpoint { endpoint, socket } in operator.jsonrpc_worker_endpoints(site) {
         pool.set_address(endpoint.worker, WorkerAddress::JsonRpc(socket), None);
         endpoints.push(endpoint);
     }
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,7 +1,7 @@
 //! Start of the server: sockets and state, from the configuration, for as long as it takes to have them.
 
 use super::accept::{Acceptor, JsonRpcListener};
-use super::endpoints::assign_checker_addresses;
+use super::endpoints::assign_jsonrpc_worker_addresses;
 use super::error::ServerError;
 use super::leader::LeaderElection;
 use super::signals::Signals;
@@ -85,7 +85,7 @@
         let mut scheduler = Scheduler::new(config.site.clone(), config.seed);
         limits::limit_memory(&config, &mut scheduler, &mut reactor);
         let mut pool = Pool::new(limits::worker_limits(&config));
-        let configured = assign_checker_addresses(&operator, &config.site, &mut pool);
+        let configured = assign_jsonrpc_worker_addresses(&operator, &config.site, &mut pool);
         let known = std::mem::take(&mut config.known_events);
         Ok(Server {
             sources: sources.clone(),
--- a/tests/config/main.rs
+++ b/tests/config/main.rs
@@ -28,7 +28,7 @@
         ConfigProblem::OutOfRange { key, .. }
         | ConfigProblem::VirtualRouterOutOfRange { key }
         | ConfigProblem::NotLoopback { key, .. } => (*key).to_owned(),
-        ConfigProblem::InvalidCheckerId { .. } | ConfigProblem::DuplicateCheckerId { .. } => {
+        ConfigProblem::InvalidJsonRpcWorkerId { .. } | ConfigProblem::DuplicateJsonRpcWorkerId { .. } => {
             "checkers.id".to_owned()
         }
         _ => String::new(),
--- a/tests/config/operator_file.rs
+++ b/tests/config/operator_file.rs
@@ -3,7 +3,7 @@
 use super::assert_error;
 use super::support::settings::{settings_with, site};
 use function_scheduler::config::{
-    CheckerConfig, CheckerEndpoint, ConfigDocument, ConfigProblem, JsonRpcConfig, VrrpConfig,
+    ConfigDocument, ConfigProblem, JsonRpcConfig, JsonRpcWorkerConfig, JsonRpcWorkerEndpoint, VrrpConfig,
     parse_operator_config,
 };
 use function_scheduler::*;
@@ -35,7 +35,7 @@
 }
 
 /// A JSON-RPC worker with this id.
-fn checker(id: &str) -> String {
+fn jsonrpc_worker(id: &str) -> String {
     format!("[[checkers]]\nid = \"{id}\"\nsocket = \"s\"\n")
 }
 
@@ -44,7 +44,10 @@
     let operator = parse_operator_config(&example_operator_file()).unwrap();
     assert_eq!(operator.jsonrpc.unwrap().mode, 0o660);
     assert_eq!(
-        (operator.checkers.len(), operator.vrrp.unwrap().virtual_router_id),
+        (
+            operator.jsonrpc_workers.len(),
+            operator.vrrp.unwrap().virtual_router_id
+        ),
         (1, 7)
     );
     assert!(
@@ -56,7 +59,7 @@
         (jsonrpc("mode = \"999\""), "octal"),
         (jsonrpc("max_line = 1"), "max_line"),
         (jsonrpc("max_lines = 1"), "max_lines"),
-        (checker("c1"), "checker id 'c1'"),
+        (jsonrpc_worker("c1"), "checkers.id 'c1'"),
         (vrrp("vrid = 1", "vrid = 0"), "start from 1"),
         (vrrp("127.0.0.1:1", "10.0.0.1:1"), "loopback"),
     ];
@@ -81,14 +84,14 @@
         (socket, mode, max_clients, max_line_bytes),
         (PathBuf::from("s"), 0o660, 64, 65536)
     );
-    let checker = CheckerConfig {
+    let worker = JsonRpcWorkerConfig {
         worker: WorkerId(0xc001),
         socket: "c".into(),
         zone: String::new(),
         kind: String::new(),
         weight: 1.0,
     };
-    assert_eq!(operator.checkers, [checker]);
+    assert_eq!(operator.jsonrpc_workers, [worker]);
     let vrrp = VrrpConfig {
         virtual_router_id: 1,
         priority: 1,
@@ -102,14 +105,14 @@
 }
 
 #[test]
-fn checkers_become_endpoints_in_the_zone_and_of_the_kind_that_they_name() {
+fn jsonrpc_workers_become_endpoints_in_the_zone_and_of_the_kind_that_they_name() {
     let mut settings = settings_with("zones", json!(["a", "b"]));
     settings["kinds"] = json!(["k", "l"]);
     let text = "[[checkers]]\nid = \"s-0000c001\"\nsocket = \"c\"\nzone = \"b\"\nkind = \"l\"\nweight = 2.5\n\
         [[checkers]]\nid = \"s-0000c002\"\nsocket = \"d\"\nzone = \"unknown\"";
     let endpoints = parse_operator_config(text)
         .unwrap()
-        .checker_endpoints(&site(&settings).unwrap());
+        .jsonrpc_worker_endpoints(&site(&settings).unwrap());
     let endpoint = |worker, zone, kind, weight| Endpoint {
         worker: WorkerId(worker),
         zone: ZoneId(zone),
@@ -118,11 +121,11 @@
         ..Endpoint::default()
     };
     let expected = [
-        CheckerEndpoint {
+        JsonRpcWorkerEndpoint {
             endpoint: endpoint(0xc001, 1, 1, 2.5),
             socket: "c".into(),
         },
-        CheckerEndpoint {
+        JsonRpcWorkerEndpoint {
             endpoint: endpoint(0xc002, 0, 0, 1.0),
             socket: "d".into(),
         },
@@ -135,8 +138,8 @@
     const LINE: &str = "operator's file: jsonrpc.max_line is not between 1024 and 1048576";
     const RANGE: &str = "operator's file: vrrp.vrid, priority and interval_cs start from 1";
     const LOOPBACK: &str = "operator's file: vrrp.bind and peers are loopback addresses";
-    const CHECKER_ID: &str = "operator's file: checker id 's-c001' is odd or stands twice";
-    const CHECKER_TWICE: &str = "operator's file: checker id 's-0000c001' is odd or stands twice";
+    const WORKER_ID: &str = "operator's file: checkers.id 's-c001' is not 's-' and 8 hexadecimal digits";
+    const WORKER_TWICE: &str = "operator's file: checkers.id 's-0000c001' is given twice";
     let max_line = |limit: u32| jsonrpc(&format!("max_line = {limit}"));
     let interval = |centiseconds: u32| VRRP.to_owned() + &format!("interval_cs = {centiseconds}");
     let peer = vrrp("peers = []", "peers = [\"10.0.0.1:1\"]");
@@ -149,8 +152,12 @@
         (interval(4096), "vrrp.interval_cs", RANGE),
         (vrrp("127.0.0.1:1", "10.0.0.1:1"), "vrrp.bind", LOOPBACK),
         (peer, "vrrp.peers", LOOPBACK),
-        (checker("s-c001"), "checkers.id", CHECKER_ID),
-        (checker("s-0000c001").repeat(2), "checkers.id", CHECKER_TWICE),
+        (jsonrpc_worker("s-c001"), "checkers.id", WORKER_ID),
+        (
+            jsonrpc_worker("s-0000c001").repeat(2),
+            "checkers.id",
+            WORKER_TWICE,
+        ),
     ];
     for (text, key, expected) in cases {
         let error = parse_operator_config(&text).unwrap_err();
