--- a/src/config/scheduler_file.rs
+++ b/src/config/scheduler_file.rs
@@ -31,9 +31,9 @@
     pub max_descriptors: usize,
     /// Memory that may be taken, in MB.
     pub memory_mb: usize,
-    /// The event bus, which publishes the endpoint list; absent where there is none.
-    pub event_bus: Option<SocketAddr>,
-    /// The bus's events up to now, by their offsets.
+    /// The discovery service, which publishes the endpoint list; absent where there is none.
+    pub discovery_service: Option<SocketAddr>,
+    /// The watch events up to now, by their offsets.
     pub known_events: Vec<WatchEvent>,
     /// The site.
     pub site: Site,
@@ -57,7 +57,7 @@
             .limits
             .memory_mb
             .map_or(DEFAULT_MEMORY_MB, whole_megabytes),
-        event_bus: document.event_bus,
+        discovery_service: document.discovery_service,
         known_events,
         site,
     })
@@ -142,7 +142,7 @@
     #[serde(default)]
     limits: LimitsDocument,
     #[serde(rename = "bus")]
-    event_bus: Option<SocketAddr>,
+    discovery_service: Option<SocketAddr>,
     #[serde(default)]
     known: KnownDocument,
     settings: serde_json::Value,
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -26,7 +26,7 @@
 
     /// Discovery's part of a reload: it continues after the last event, at the configured address.
     pub(super) fn reload_discovery(&mut self, now: Time, known: Vec<WatchEvent>) {
-        let moved = self.discovery.set_address(self.config.event_bus);
+        let moved = self.discovery.set_address(self.config.discovery_service);
         self.poll_discovery(now);
         self.discovery.offer_known(known);
         if moved {
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -90,7 +90,7 @@
         Ok(Server {
             sources: sources.clone(),
             scheduler,
-            discovery: Discovery::new(config.event_bus, known, configured, reactor.now()),
+            discovery: Discovery::new(config.discovery_service, known, configured, reactor.now()),
             acceptor: Acceptor::new(limits::client_limits(&config), jsonrpc),
             reactor,
             pool,
--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -56,7 +56,7 @@
     let least = json!({"listen": "127.0.0.1:1", "settings": least_settings()});
     let config = accepted(&least);
     assert_eq!(
-        (config.name.as_str(), config.seed, config.event_bus),
+        (config.name.as_str(), config.seed, config.discovery_service),
         ("", 0, None)
     );
     assert_eq!(
