--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading a configuration: which document, which key, and what is wrong with it.
+//! Errors of the configuration: which document cannot be used, which key, and what is wrong with it.
 
 use std::fmt;
 use std::io;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Why a configuration is refused.
+/// Why a configuration cannot be used.
 #[derive(Debug, Error)]
 #[error("{document}: {problem}")]
 pub struct ConfigError {
@@ -45,7 +45,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
     /// It is not JSON, or lacks a key, or a key's value has another type. The inner error names the key and
@@ -56,7 +56,7 @@
     /// error names the key and the line.
     #[error("{0}")]
     Toml(#[from] Box<toml::de::Error>),
-    /// A key's value is none of the words that are known there.
+    /// A value is not among those listed for its key.
     #[error("{key} is '{value}'")]
     UnknownValue {
         /// The key.
@@ -64,7 +64,7 @@
         /// Its value.
         value: String,
     },
-    /// A key is absent that another key's value calls for.
+    /// A key is missing that the value of another key requires.
     #[error("{parent} lacks {key}")]
     MissingKey {
         /// The object that should hold the key.
@@ -77,12 +77,12 @@
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// Least value.
+        /// Least valid value.
         min: usize,
-        /// Greatest value.
+        /// Greatest valid value.
         max: usize,
     },
-    /// A number of the virtual router is outside its range.
+    /// A number of the virtual router is outside its range (RFC 9568, section 5.2).
     #[error("vrrp.vrid, priority and interval_cs start from 1")]
     VirtualRouterOutOfRange {
         /// The key.
@@ -111,6 +111,13 @@
 }
 
 impl ConfigProblem {
+    pub(super) fn unknown_value(key: impl Into<String>, value: &str) -> ConfigProblem {
+        ConfigProblem::UnknownValue {
+            key: key.into(),
+            value: value.to_owned(),
+        }
+    }
+
     /// The error that names `document` as the one with this problem.
     pub(super) fn within(self, document: ConfigDocument) -> ConfigError {
         ConfigError {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,12 +1,13 @@
 //! The configuration: the platform's JSON file with the site's settings in it, and the operator's TOML file.
 //!
-//! Each document has a deserialized form, in which keys and words are those of the document, and a checked
-//! form, which is what the rest of the program uses.
+//! Each document has a deserialized form, in its module `document`, where keys and values are named as in the
+//! file, and a checked form, which is what the rest of the program uses.
 
 mod error;
 mod operator_file;
 mod scheduler_file;
 mod settings;
+mod worker;
 
 pub use error::{ConfigDocument, ConfigError, ConfigProblem};
 pub use operator_file::{
@@ -16,13 +17,9 @@
 pub use scheduler_file::{SchedulerConfig, parse_scheduler_config};
 pub use settings::{parse_settings, parse_site};
 
-use crate::model::WorkerId;
 use std::path::{Path, PathBuf};
 
-/// Digits of a worker's id after its prefix.
-const WORKER_ID_DIGITS: usize = 8;
-
-/// Where the configuration is read from: at the start, and again on SIGHUP.
+/// The files from which the configuration is read: at the start, and again on SIGHUP.
 #[derive(Clone, Debug)]
 pub struct ConfigSources {
     /// The platform's configuration file.
@@ -36,12 +33,12 @@
 pub struct Configuration {
     /// The platform's configuration.
     pub scheduler: SchedulerConfig,
-    /// The operator's file; empty where there is none.
+    /// The operator's; empty where there is no file.
     pub operator: OperatorConfig,
 }
 
 impl ConfigSources {
-    /// Reads both files. There is a result only if all of both can be used.
+    /// Reads and checks both files. A problem in either refuses both.
     ///
     /// # Errors
     ///
@@ -75,13 +72,3 @@
     }
     .within(document)
 }
-
-/// The worker that the files name by `s-` and 8 hexadecimal digits.
-fn parse_worker_id(id: &str) -> Option<WorkerId> {
-    let digits = id.strip_prefix("s-")?;
-    let well_formed = digits.len() == WORKER_ID_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if !well_formed {
-        return None;
-    }
-    u64::from_str_radix(digits, 16).ok().map(WorkerId)
-}
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -1,48 +1,46 @@
-//! From the deserialized form of the settings to the types that the program uses, a section each.
+//! From the deserialized form of the settings to the types that the program uses, a section each. The request
+//! classes are in [`super::classes`].
 
+use super::classes::parse_classes;
 use super::document::{
-    ClassDocument, LoadingDocument, PermissionsDocument, PricesDocument, SafetyLimitsDocument,
-    SettingsDocument, TenantDocument,
+    LoadingDocument, PermissionsDocument, PricesDocument, SafetyLimitsDocument, SettingsDocument,
+    TenantDocument,
 };
 use crate::config::error::ConfigProblem;
 use crate::model::{
-    DeduplicationScope, DiscoveryMode, Idempotency, LoadMetric, LoadRateLimit, LoadingSettings, OnMiss,
-    Permissions, Prices, RequestClass, SafetyLimits, Settings, Site, Span, Tenant, ZoneId,
+    DiscoveryMode, LoadMetric, LoadRateLimit, LoadingSettings, OnMiss, Permissions, Prices, SafetyLimits,
+    Settings, Site, Span, Tenant, ZoneId,
 };
 
-/// Weight of a request beyond its tenant's quota where the settings give none: that of any other.
+/// Weight of a request beyond its tenant's quota, relative to one within it, where the settings give none.
 const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 1.0;
-/// Weight of a class where the settings give none.
-const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
 impl TryFrom<SettingsDocument> for Site {
     type Error = ConfigProblem;
 
     fn try_from(document: SettingsDocument) -> Result<Site, ConfigProblem> {
-        let limits = &document.permissions;
+        let settings = Settings::try_from(&document)?;
+        let limits = document.permissions;
+        let class_names = document.classes.into_iter().map(|class| Some(class.name));
         Ok(Site {
-            class_names: document
-                .classes
-                .iter()
-                .map(|class| Some(class.name.clone()))
-                .collect(),
-            zones: document.zones.clone(),
-            kinds: document.kinds.clone(),
+            settings,
+            class_names: class_names.collect(),
+            zones: document.zones,
+            kinds: document.kinds,
             attempts_per_connection: limits.attempts_per_connection.max(1),
             max_open_requests: limits.max_open_requests,
             idle_timeout: Span(limits.idle_timeout_ns),
             connect_timeout: Span(limits.connect_timeout_ns),
             load_timeout: Span(document.loading.load_timeout_ns),
-            load_metric_names: document.load_report.metric_names.clone(),
-            settings: document.try_into()?,
+            load_metric_names: document.load_report.metric_names,
         })
     }
 }
 
-impl TryFrom<SettingsDocument> for Settings {
+impl TryFrom<&SettingsDocument> for Settings {
     type Error = ConfigProblem;
 
-    fn try_from(document: SettingsDocument) -> Result<Settings, ConfigProblem> {
+    fn try_from(document: &SettingsDocument) -> Result<Settings, ConfigProblem> {
         let metric_names = &document.load_report.metric_names;
         Ok(Settings {
             fleet_size: document.fleet_size,
@@ -59,7 +57,7 @@
             reports_function_in_flight: document.loading.reports_function_in_flight,
             discovery: parse_discovery_mode(&document.discovery),
             weights_are_capacities: weights_are_capacities(&document.weight_source),
-            loading: document.loading.try_into()?,
+            loading: LoadingSettings::try_from(&document.loading)?,
         })
     }
 }
@@ -72,14 +70,14 @@
     }
 }
 
-impl TryFrom<LoadingDocument> for LoadingSettings {
+impl TryFrom<&LoadingDocument> for LoadingSettings {
     type Error = ConfigProblem;
 
-    fn try_from(document: LoadingDocument) -> Result<LoadingSettings, ConfigProblem> {
+    fn try_from(document: &LoadingDocument) -> Result<LoadingSettings, ConfigProblem> {
         Ok(LoadingSettings {
             keep_alive: Span(document.keep_alive_ns),
             on_miss: parse_on_miss(&document.on_miss)?,
-            worker_memory_mb: document.worker_memory_mb,
+            worker_memory_mb: document.worker_memory_mb.clone(),
         })
     }
 }
@@ -125,76 +123,15 @@
     }
 }
 
-fn parse_classes(documents: &[ClassDocument]) -> Result<Vec<RequestClass>, ConfigProblem> {
-    let numbered = documents.iter().enumerate();
-    numbered
-        .map(|(number, class)| parse_class(&format!("classes[{number}]"), class))
-        .collect()
-}
-
-/// `key` is the path of the class in the document, for errors.
-fn parse_class(key: &str, class: &ClassDocument) -> Result<RequestClass, ConfigProblem> {
-    Ok(RequestClass {
-        latency_objective: Span(class.latency_objective_ns),
-        deadline: Span(class.deadline_ns),
-        priority_weight: class.priority_weight.unwrap_or(DEFAULT_PRIORITY_WEIGHT),
-        late_value: class.late_value,
-        idempotency: parse_idempotency(key, class)?,
-    })
-}
-
-fn parse_idempotency(key: &str, class: &ClassDocument) -> Result<Idempotency, ConfigProblem> {
-    match class.idempotency.as_str() {
-        "retryable" => Ok(Idempotency::Idempotent),
-        "fragile" => Ok(Idempotency::NonIdempotent),
-        "dedup" => parse_deduplication(key, class),
-        other => Err(unknown_value(format!("{key}.effect"), other)),
-    }
-}
-
-fn parse_deduplication(key: &str, class: &ClassDocument) -> Result<Idempotency, ConfigProblem> {
-    let missing = |what| ConfigProblem::MissingKey {
-        parent: key.to_owned(),
-        key: what,
-    };
-    let scope = class
-        .deduplication_scope
-        .as_deref()
-        .ok_or_else(|| missing("group"))?;
-    let scope = parse_deduplication_scope(key, scope)?;
-    let window_ns = class
-        .deduplication_window_ns
-        .ok_or_else(|| missing("repeatWindowNs"))?;
-    Ok(Idempotency::Keyed {
-        scope,
-        window: Span(window_ns),
-    })
-}
-
-fn parse_deduplication_scope(key: &str, word: &str) -> Result<DeduplicationScope, ConfigProblem> {
-    match word {
-        "all" => Ok(DeduplicationScope::All),
-        "zone" => Ok(DeduplicationScope::Zone),
-        "cell" => Ok(DeduplicationScope::Cell),
-        other => Err(unknown_value(format!("{key}.group"), other)),
-    }
-}
-
 fn parse_on_miss(word: &str) -> Result<OnMiss, ConfigProblem> {
     match word {
         "load" => Ok(OnMiss::Load),
         "miss" => Ok(OnMiss::Miss),
-        other => Err(unknown_value("familyInfo.notLoaded".to_owned(), other)),
-    }
-}
-
-fn unknown_value(key: String, value: &str) -> ConfigProblem {
-    ConfigProblem::UnknownValue {
-        key,
-        value: value.to_owned(),
+        other => Err(ConfigProblem::unknown_value("familyInfo.notLoaded", other)),
     }
 }
 
+/// The metric that a load report names so; the policy ignores the values of those that it does not know.
 fn parse_load_metric(name: &str) -> LoadMetric {
     match name {
         "busy_reqs" => LoadMetric::InFlight,
@@ -213,7 +150,7 @@
     }
 }
 
-/// Whether a worker's listed weight, which comes from this source, is its lasting size.
+/// Whether the weights of workers in the endpoint list, which come from this source, are their capacities.
 fn weights_are_capacities(weight_source: &str) -> bool {
     matches!(weight_source, "nominal" | "rough")
 }
--- a/src/config/settings/document.rs
+++ b/src/config/settings/document.rs
@@ -1,4 +1,5 @@
-//! The deserialized form of the settings. Only here are keys named as on the wire.
+//! The deserialized form of the settings. Only here are keys named as on the wire; `docs/configuration.md` lists
+//! them with their meaning.
 //!
 //! `expecting` keeps the texts of type errors independent of the names of these types. Keys that are not
 //! listed are ignored. Times are in nanoseconds.
@@ -11,7 +12,7 @@
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 4096;
 /// Time after which workers close idle connections where the settings give none: 15 s.
 const DEFAULT_IDLE_TIMEOUT_NS: u64 = 15_000_000_000;
-/// Time limit of a connection that is coming up where the settings give none: 250 ms.
+/// Time limit for establishing a connection where the settings give none: 250 ms.
 const DEFAULT_CONNECT_TIMEOUT_NS: u64 = 250_000_000;
 /// Time limit of a load order where the settings give none: 10 s.
 const DEFAULT_LOAD_TIMEOUT_NS: u64 = 10_000_000_000;
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,6 +1,7 @@
 //! The site's settings: JSON as the platform's file contains it and as the simulator sends it (page WIRE,
 //! "Start-up settings").
 
+mod classes;
 mod convert;
 mod document;
 
@@ -8,16 +9,16 @@
 use crate::model::{Settings, Site};
 use document::SettingsDocument;
 
-/// Reads the settings that the policy needs.
+/// Parses the settings that the policy needs.
 ///
 /// # Errors
 ///
-/// What is missing, has another type, or is a word that is not known.
+/// A required key is missing, or a value has another type or is not among those listed for its key.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, ConfigError> {
     parse_site(json).map(|site| site.settings)
 }
 
-/// Reads the settings with what connections need of them.
+/// Parses the settings with what connections need of them.
 ///
 /// # Errors
 ///
