--- a/src/server/leader.rs
+++ b/src/server/leader.rs
@@ -44,7 +44,7 @@
             priority: config.priority,
             advertisement_interval: packet::interval_from_centiseconds(config.interval_centiseconds),
             preempt: config.preempt,
-            address,
+            primary_address: address,
         });
         Ok(LeaderElection {
             state_machine,
--- a/src/vrrp/packet.rs
+++ b/src/vrrp/packet.rs
@@ -1,4 +1,4 @@
-//! Codec of the VRRP version 3 advertisement over IPv4 (RFC 9568, section 5).
+//! Codec of the VRRP version 3 advertisement for IPv4 (RFC 9568, section 5).
 
 use crate::model::Span;
 use std::net::Ipv4Addr;
@@ -8,26 +8,26 @@
 #[cfg(test)]
 mod tests;
 
-/// Longest advertisement in bytes: the header and as many addresses as its count can tell.
+/// Longest advertisement in bytes: the header and the most addresses that its count can express.
 pub const MAX_MESSAGE_LENGTH: usize = HEADER_LENGTH + ADDRESS_LENGTH * MAX_ADDRESSES;
-/// Longest Max Advertise Interval in centiseconds; the field has 12 bits.
+/// Greatest Max Advertise Interval, in centiseconds; the field has 12 bits (RFC 9568, section 5.2.7).
 pub const MAX_INTERVAL_CENTISECONDS: u16 = 0x0fff;
 
-/// The protocol's version, in the high four bits of the first byte.
+/// Version, in the high four bits of the first byte (RFC 9568, section 5.2.1).
 const VERSION: u8 = 3;
-/// The only type of message, in the low four bits of the first byte.
+/// Type ADVERTISEMENT, the only one, in the low four bits of the first byte (RFC 9568, section 5.2.2).
 const TYPE_ADVERTISEMENT: u8 = 1;
-/// Bytes before the addresses.
+/// Length of the fields before the addresses, in bytes (RFC 9568, section 5.1).
 const HEADER_LENGTH: usize = 8;
-/// Where the header has the checksum.
+/// Position of the Checksum field in the message (RFC 9568, section 5.1).
 const CHECKSUM_FIELD: Range<usize> = 6..8;
-/// Bytes of an IPv4 address.
+/// Length of an IPv4 address, in bytes.
 const ADDRESS_LENGTH: usize = 4;
-/// The count of addresses has one byte.
+/// Greatest IPvX Addr Count; the field has one byte (RFC 9568, section 5.2.5).
 const MAX_ADDRESSES: usize = u8::MAX as usize;
 const MILLISECONDS_PER_CENTISECOND: u64 = 10;
 
-/// The time between two advertisements from its number of centiseconds, the unit of Max Advertise Interval.
+/// Converts a time from centiseconds, the unit of Max Advertise Interval.
 pub fn interval_from_centiseconds(count: u16) -> Span {
     Span::from_millis(u64::from(count) * MILLISECONDS_PER_CENTISECOND)
 }
@@ -44,7 +44,7 @@
     /// The type is not ADVERTISEMENT.
     #[error("not an advertisement")]
     UnknownType,
-    /// The length of the message does not fit its count of addresses.
+    /// The length of the message does not fit IPvX Addr Count.
     #[error("length and count differ")]
     AddressCountMismatch,
     /// The message lists no address.
@@ -53,7 +53,7 @@
     /// The checksum does not fit the message.
     #[error("checksum")]
     ChecksumMismatch,
-    /// The virtual router id or the advertisement interval is zero.
+    /// The Virtual Rtr ID or the Max Advertise Interval is zero.
     #[error("a field is zero")]
     ZeroField,
 }
@@ -61,14 +61,14 @@
 /// An advertisement of an active router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Advertisement {
-    /// The virtual router that it belongs to (VRID), 1 to 255.
+    /// Virtual Router Identifier (VRID): 1 to 255.
     pub virtual_router_id: u8,
-    /// Priority of the sender; 0 where it shuts down.
+    /// Priority of the sender; [`PRIORITY_STOPPED`](super::PRIORITY_STOPPED) where it shuts down.
     pub priority: u8,
-    /// Time between the advertisements of the sender (Max Advertise Interval), in centiseconds: 1 to
+    /// Max Advertise Interval, the time between the advertisements of the sender, in centiseconds: 1 to
     /// [`MAX_INTERVAL_CENTISECONDS`].
     pub interval_centiseconds: u16,
-    /// Addresses of the virtual router, 1 to 255 of them.
+    /// IPvX Addresses: those of the virtual router, 1 to 255 of them.
     pub addresses: Vec<Ipv4Addr>,
 }
 
@@ -78,7 +78,7 @@
         interval_from_centiseconds(self.interval_centiseconds)
     }
 
-    /// The message as it is sent.
+    /// Encodes the message, with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         let [interval_high, interval_low] =
             (self.interval_centiseconds & MAX_INTERVAL_CENTISECONDS).to_be_bytes();
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// The message is not a valid advertisement and has to be dropped.
+    /// The message is not a valid advertisement; the receiver has to drop it (RFC 9568, section 7.1).
     pub fn decode(message: &[u8]) -> Result<Advertisement, DecodeError> {
         let (header, addresses) = message
             .split_first_chunk::<HEADER_LENGTH>()
@@ -163,7 +163,7 @@
     message[CHECKSUM_FIELD].copy_from_slice(&checksum.to_be_bytes());
 }
 
-/// The Internet checksum (RFC 1071) of a message, without a pseudo-header; 0 if the message holds its own.
+/// The Internet checksum (RFC 1071) of a message, without a pseudo-header; 0 if the message contains its own.
 fn internet_checksum(message: &[u8]) -> u16 {
     let mut sum: u32 = 0;
     for pair in message.chunks(2) {
--- a/src/vrrp/state_machine.rs
+++ b/src/vrrp/state_machine.rs
@@ -7,38 +7,42 @@
 #[cfg(test)]
 mod tests;
 
-/// Priority of the owner of the virtual router's address, which is active whenever it runs.
+/// Priority of the owner of the virtual router's address, which is active whenever it runs (RFC 9568,
+/// section 5.2.4).
 pub const PRIORITY_ADDRESS_OWNER: u8 = 255;
-/// Priority in the last advertisement of an active router that shuts down.
-pub const PRIORITY_RESIGNED: u8 = 0;
+/// Priority in the last advertisement of an active router that has stopped participating in VRRP (RFC 9568,
+/// section 5.2.4).
+pub const PRIORITY_STOPPED: u8 = 0;
 
-/// Number of priorities; the skew time is the part of an interval that a priority lacks of it.
-const PRIORITY_COUNT: u64 = 256;
-/// Advertisements that a backup router may miss before it takes the active one for down.
-const MISSED_ADVERTISEMENTS: u64 = 3;
+/// The skew time is (this minus the priority) 256ths of an interval (RFC 9568, section 6.1).
+const SKEW_TIME_DIVISOR: u64 = 256;
+/// Intervals without an advertisement, before the skew time, after which the active router is down (RFC 9568,
+/// section 6.1).
+const ACTIVE_DOWN_INTERVALS: u64 = 3;
 
 /// States of a virtual router (RFC 9568, section 6.4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// Not started, or shut down.
     Initialize,
-    /// Watches the advertisements of the active router.
+    /// Monitors the advertisements of the active router.
     Backup,
-    /// Takes new requests and sends advertisements.
+    /// Accepts new requests and sends advertisements.
     Active,
 }
 
 /// Parameters of a virtual router (RFC 9568, section 6.1).
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Priority in the election: 1 to 254, or [`PRIORITY_ADDRESS_OWNER`].
+    /// `Priority` in the election: 1 to 254, or [`PRIORITY_ADDRESS_OWNER`].
     pub priority: u8,
     /// Time between the advertisements of this router while it is active (`Advertisement_Interval`).
     pub advertisement_interval: Span,
     /// Whether it takes over from an active router of lower priority (`Preempt_Mode`).
     pub preempt: bool,
-    /// Address of this router: of two routers with the same priority, the one with the higher address wins.
-    pub address: SocketAddr,
+    /// Primary address of this router: of two active routers with the same priority, the one with the higher
+    /// address stays active.
+    pub primary_address: SocketAddr,
 }
 
 /// Input of the state machine.
@@ -52,11 +56,11 @@
     TimerExpired,
     /// A valid advertisement for this virtual router has arrived.
     AdvertisementReceived {
-        /// Priority of its sender; [`PRIORITY_RESIGNED`] where the sender shuts down.
+        /// Priority of its sender; [`PRIORITY_STOPPED`] where the sender shuts down.
         priority: u8,
         /// Time between the advertisements of its sender (Max Advertise Interval).
         interval: Span,
-        /// Address of its sender.
+        /// Primary address of its sender.
         sender: SocketAddr,
     },
 }
@@ -73,9 +77,10 @@
 pub struct StateMachine {
     configuration: Configuration,
     state: State,
-    /// `Adver_Timer` while active, `Active_Down_Timer` while in backup.
+    /// When the timer of the state fires: `Adver_Timer` in [`State::Active`], `Active_Down_Timer` in
+    /// [`State::Backup`] (RFC 9568, section 6.2).
     timer: Option<Time>,
-    /// Time between the advertisements of the active router, as it announces it (`Active_Adver_Interval`).
+    /// Time between the advertisements of the active router, as its own say (`Active_Adver_Interval`).
     active_advertisement_interval: Span,
 }
 
@@ -111,25 +116,27 @@
         }
     }
 
+    /// RFC 9568, section 6.4.1.
     fn handle_in_initialize(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         if event != Event::Startup {
             return None;
         }
         if self.owns_address() {
-            return self.become_active(now);
+            return self.transition_to_active(now);
         }
-        self.become_backup(now, self.configuration.advertisement_interval);
+        self.transition_to_backup(now, self.configuration.advertisement_interval);
         None
     }
 
+    /// RFC 9568, section 6.4.2.
     fn handle_in_backup(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         match event {
             Event::Startup => None,
             Event::Shutdown => {
-                self.become_initialize();
+                self.transition_to_initialize();
                 None
             }
-            Event::TimerExpired if self.timer_expired(now) => self.become_active(now),
+            Event::TimerExpired if self.timer_expired(now) => self.transition_to_active(now),
             Event::TimerExpired => None,
             Event::AdvertisementReceived {
                 priority, interval, ..
@@ -140,28 +147,30 @@
         }
     }
 
-    /// Handles an advertisement while in backup: restarts the timer, unless this router is to take over.
+    /// Handles an advertisement in [`State::Backup`]: restarts the timer, unless this router is to preempt the
+    /// sender. In that case the running timer expires and makes it active.
     fn handle_advertisement_in_backup(&mut self, now: Time, priority: u8, interval: Span) {
         if self.owns_address() {
             return;
         }
-        if priority == PRIORITY_RESIGNED {
+        if priority == PRIORITY_STOPPED {
             self.timer = Some(now + self.skew_time());
             return;
         }
         let preempts = self.configuration.preempt && priority < self.configuration.priority;
         if !preempts {
-            self.become_backup(now, interval);
+            self.transition_to_backup(now, interval);
         }
     }
 
+    /// RFC 9568, section 6.4.3.
     fn handle_in_active(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         match event {
             Event::Startup => None,
             Event::Shutdown => {
-                self.become_initialize();
+                self.transition_to_initialize();
                 Some(SendAdvertisement {
-                    priority: PRIORITY_RESIGNED,
+                    priority: PRIORITY_STOPPED,
                 })
             }
             Event::TimerExpired if self.timer_expired(now) => self.advertise(now),
@@ -174,7 +183,8 @@
         }
     }
 
-    /// Handles an advertisement while active: steps back if the sender is preferred.
+    /// Handles an advertisement in [`State::Active`]: returns to [`State::Backup`] if the sender outranks this
+    /// router.
     fn handle_advertisement_in_active(
         &mut self,
         now: Time,
@@ -185,42 +195,43 @@
         if self.owns_address() {
             return None;
         }
-        if priority != PRIORITY_RESIGNED && self.prefers(priority, sender) {
-            self.become_backup(now, interval);
+        if priority != PRIORITY_STOPPED && self.is_outranked_by(priority, sender) {
+            self.transition_to_backup(now, interval);
             return None;
         }
-        // The sender shuts down or has to step back: it and the backups learn at once who is active.
+        // The sender shuts down or is to return to backup: it and the backups learn at once who is active.
         self.advertise(now)
     }
 
-    /// Whether another active router is preferred: by its priority, and by its address if these are equal.
-    fn prefers(&self, priority: u8, sender: SocketAddr) -> bool {
+    /// Whether another active router takes precedence: by its priority, and by its primary address if the
+    /// priorities are equal.
+    fn is_outranked_by(&self, priority: u8, sender: SocketAddr) -> bool {
         let own = &self.configuration;
         match priority.cmp(&own.priority) {
             Ordering::Greater => true,
-            Ordering::Equal => sender > own.address,
+            Ordering::Equal => sender > own.primary_address,
             Ordering::Less => false,
         }
     }
 
-    fn become_initialize(&mut self) {
+    fn transition_to_initialize(&mut self) {
         self.state = State::Initialize;
         self.timer = None;
     }
 
-    /// Watches an active router that advertises at this interval.
-    fn become_backup(&mut self, now: Time, active_advertisement_interval: Span) {
+    /// Monitors an active router that advertises at this interval; restarts `Active_Down_Timer`.
+    fn transition_to_backup(&mut self, now: Time, active_advertisement_interval: Span) {
         self.state = State::Backup;
         self.active_advertisement_interval = active_advertisement_interval;
         self.timer = Some(now + self.active_down_interval());
     }
 
-    fn become_active(&mut self, now: Time) -> Option<SendAdvertisement> {
+    fn transition_to_active(&mut self, now: Time) -> Option<SendAdvertisement> {
         self.state = State::Active;
         self.advertise(now)
     }
 
-    /// Sends an advertisement and sets the timer for the next one.
+    /// Sends an advertisement and restarts `Adver_Timer`.
     fn advertise(&mut self, now: Time) -> Option<SendAdvertisement> {
         self.timer = Some(now + self.configuration.advertisement_interval);
         Some(SendAdvertisement {
@@ -238,12 +249,12 @@
 
     /// `Skew_Time`: the higher the priority, the sooner a backup router takes over.
     fn skew_time(&self) -> Span {
-        let missing_priority = PRIORITY_COUNT - u64::from(self.configuration.priority);
-        Span(missing_priority * self.active_advertisement_interval.0 / PRIORITY_COUNT)
+        let inverse_priority = SKEW_TIME_DIVISOR - u64::from(self.configuration.priority);
+        Span(inverse_priority * self.active_advertisement_interval.0 / SKEW_TIME_DIVISOR)
     }
 
-    /// `Active_Down_Interval`: how long no advertisement comes before the active router is taken for down.
+    /// `Active_Down_Interval`: time without an advertisement after which the active router is down.
     fn active_down_interval(&self) -> Span {
-        Span(MISSED_ADVERTISEMENTS * self.active_advertisement_interval.0 + self.skew_time().0)
+        Span(ACTIVE_DOWN_INTERVALS * self.active_advertisement_interval.0 + self.skew_time().0)
     }
 }
--- a/src/vrrp/state_machine/tests.rs
+++ b/src/vrrp/state_machine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Address of the router under test; the last number of a peer's address decides between equal priorities.
+/// Primary address of the router under test; the last byte of a peer's decides between equal priorities.
 const OWN_ADDRESS: &str = "127.0.0.5:9112";
 const LOWER_ADDRESS: u8 = 1;
 const HIGHER_ADDRESS: u8 = 9;
@@ -19,7 +19,7 @@
         priority,
         advertisement_interval: Span::from_millis(1000),
         preempt,
-        address: OWN_ADDRESS.parse().unwrap(),
+        primary_address: OWN_ADDRESS.parse().unwrap(),
     })
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn initialize_heeds_only_the_startup() {
+fn initialize_responds_only_to_startup() {
     use State::{Active, Backup, Initialize};
     Given::new(Initialize, Event::Startup).leads_to(Backup, Some(13_500), None);
     Given::new(Initialize, Event::Startup)
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn active_advertises_and_steps_back_for_a_higher_priority_or_address() {
+fn active_advertises_and_returns_to_backup_for_a_higher_priority_or_address() {
     use State::{Active, Backup, Initialize};
     Given::new(Active, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
     Given::new(Active, Event::Shutdown).leads_to(Initialize, None, Some(0));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_timer_that_was_set_anew_does_not_expire_early() {
+fn a_restarted_timer_does_not_expire_early() {
     let mut router = router(128, true);
     router.handle(milliseconds(0), Event::Startup);
     router.handle(milliseconds(3000), advertisement(200, 1000, HIGHER_ADDRESS));
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,5 +1,5 @@
-//! VRRP between scheduler processes and over UDP: the active one takes new requests of the JSON-RPC front
-//! end, the backup rejects them.
+//! VRRP between scheduler processes and over UDP: the active one accepts new requests on the JSON-RPC frontend,
+//! the backup rejects them.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -19,7 +19,7 @@
 const PRIORITY: u8 = 100;
 const HIGHER_PRIORITY: u8 = 250;
 /// Priority of a router that shuts down.
-const RESIGNED: u8 = 0;
+const STOPPED: u8 = 0;
 /// Intervals between advertisements, in centiseconds.
 const SHORT_INTERVAL: u16 = 10;
 const MEDIUM_INTERVAL: u16 = 50;
@@ -117,7 +117,7 @@
     client.send(&request(&json!(id), IDEMPOTENT_CLASS, REQUEST_ID, ALLOWED_MS, ""));
 }
 
-/// The error code of the next answer.
+/// The error code of the next response.
 fn next_error_code(client: &mut JsonRpcClient) -> Value {
     client.next_message()["error"]["code"].clone()
 }
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn only_the_active_scheduler_takes_new_requests_and_one_that_steps_back_finishes_its_own() {
+fn only_the_active_scheduler_accepts_new_requests_and_one_that_returns_to_backup_finishes_its_own() {
     let worker = StandInWorker::node_agent();
     let peer = StandInRouter::bind();
     let scheduler = peer.start_scheduler(&worker);
@@ -169,7 +169,7 @@
     let mut client = JsonRpcClient::connect(&scheduler);
     send_request(&mut client, 1);
     let mut command = worker.next_command();
-    // Steps back for three of the peer's long intervals.
+    // Returns to backup for three of the peer's long intervals.
     peer.advertise(address, HIGHER_PRIORITY, LONG_INTERVAL);
     scheduler.wait_for_log(BECAME_BACKUP);
     send_request(&mut client, 2);
@@ -181,7 +181,7 @@
     );
     // Takes over after its skew time, which goes by the peer's interval.
     peer.advertise(address, HIGHER_PRIORITY, SHORT_INTERVAL);
-    peer.advertise(address, RESIGNED, SHORT_INTERVAL);
+    peer.advertise(address, STOPPED, SHORT_INTERVAL);
     scheduler.wait_for_log_times(BECAME_ACTIVE, 2);
     expect_served(&mut client, &worker, 3);
 }
