--- a/src/main.rs
+++ b/src/main.rs
@@ -15,28 +15,31 @@
 /// The option that names the operator's file.
 const OPERATOR_OPTION: &str = "--operator";
 
-/// Why the program ends without success.
+/// Why the program ends with [`ExitCode::FAILURE`].
 #[derive(Debug, Error)]
 enum StartError {
-    #[error("usage: function-scheduler [--operator FILE]")]
+    /// The arguments are neither none nor the option with its value.
+    #[error("usage: function-scheduler [{OPERATOR_OPTION} FILE]")]
     Usage,
+    /// The environment variable is not set.
     #[error("{CONFIG_VARIABLE} names no configuration")]
     NoConfiguration,
+    /// A configuration file cannot be used.
     #[error(transparent)]
     Configuration(ConfigError),
+    /// The handlers of signals cannot be installed.
     #[error("cannot serve: {0}")]
     SignalHandlers(io::Error),
+    /// The server did not start, or ended with an error.
     #[error("cannot serve: {0}")]
     Serve(ServerError),
 }
 
 fn main() -> ExitCode {
-    let signals = Signals::install();
+    // Before anything else, so that a signal that comes early is not lost.
+    let signals = Signals::install().map_err(StartError::SignalHandlers);
     let _log = Log::open();
-    let result = signals
-        .map_err(StartError::SignalHandlers)
-        .and_then(|signals| start(&signals));
-    match result {
+    match signals.and_then(|signals| start(&signals)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             tracing::error!("{error}");
@@ -46,23 +49,26 @@
 }
 
 fn start(signals: &Signals) -> Result<(), StartError> {
-    let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
-    let operator_file = operator_file(&arguments)?;
-    let scheduler_file = std::env::var_os(CONFIG_VARIABLE)
-        .ok_or(StartError::NoConfiguration)?
-        .into();
-    let sources = ConfigSources {
-        scheduler_file,
-        operator_file,
-    };
+    let sources = config_sources()?;
     server::run(&sources, signals).map_err(|error| match error {
         ServerError::Configuration(error) => StartError::Configuration(error),
         error => StartError::Serve(error),
     })
 }
 
-/// The operator's file, if the arguments name one.
-fn operator_file(arguments: &[OsString]) -> Result<Option<PathBuf>, StartError> {
+/// The configuration files that the command line and the environment name.
+fn config_sources() -> Result<ConfigSources, StartError> {
+    let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
+    let operator_file = parse_arguments(&arguments)?;
+    let scheduler_file = std::env::var_os(CONFIG_VARIABLE).ok_or(StartError::NoConfiguration)?;
+    Ok(ConfigSources {
+        scheduler_file: scheduler_file.into(),
+        operator_file,
+    })
+}
+
+/// Parses the arguments after the program's name: the operator's file, if they name one.
+fn parse_arguments(arguments: &[OsString]) -> Result<Option<PathBuf>, StartError> {
     match arguments {
         [] => Ok(None),
         [option, path] if option == OPERATOR_OPTION => Ok(Some(path.into())),
