--- a/src/config/scheduler_file/known_events.rs
+++ b/src/config/scheduler_file/known_events.rs
@@ -50,8 +50,8 @@
     })
 }
 
-fn parse_state(word: &str) -> Result<EndpointState, ConfigProblem> {
-    match word {
+fn parse_state(value: &str) -> Result<EndpointState, ConfigProblem> {
+    match value {
         "SERVING" => Ok(EndpointState::Ready),
         "DRAINING" => Ok(EndpointState::Draining),
         "DELETED" => Ok(EndpointState::Gone),
--- a/src/config/settings/classes.rs
+++ b/src/config/settings/classes.rs
@@ -56,8 +56,8 @@
     })
 }
 
-fn parse_deduplication_scope(key: &str, word: &str) -> Result<DeduplicationScope, ConfigProblem> {
-    match word {
+fn parse_deduplication_scope(key: &str, value: &str) -> Result<DeduplicationScope, ConfigProblem> {
+    match value {
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -123,8 +123,8 @@
     }
 }
 
-fn parse_on_miss(word: &str) -> Result<OnMiss, ConfigProblem> {
-    match word {
+fn parse_on_miss(value: &str) -> Result<OnMiss, ConfigProblem> {
+    match value {
         "load" => Ok(OnMiss::Load),
         "miss" => Ok(OnMiss::Miss),
         other => Err(ConfigProblem::unknown_value("familyInfo.notLoaded", other)),
@@ -143,8 +143,8 @@
     }
 }
 
-fn parse_discovery_mode(word: &str) -> DiscoveryMode {
-    match word {
+fn parse_discovery_mode(value: &str) -> DiscoveryMode {
+    match value {
         "on_request" => DiscoveryMode::OnRequest,
         _ => DiscoveryMode::Pushed,
     }
