--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,11 @@
 //! Admission: adaptive concurrency limits of the workers, and load shedding.
 
-use super::*;
-use placement::RETRY_DELAY;
+use super::placement::RETRY_DELAY;
+use super::{Policy, Timer};
+use crate::cluster::{Attempt, Worker};
+use crate::collections::AimdBounds;
+use crate::model::{AttemptOutcome, AttemptStatus, RequestId, Span, Time};
+use rand_core::RngCore;
 
 /// This scheduler's requests in flight on a worker.
 pub(super) const CONCURRENCY_LIMIT: AimdBounds = AimdBounds {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,7 +1,13 @@
 //! Health of workers: what outcomes tell of them, outlier detection, health checks, ejection with backoff.
 
-use super::*;
-use admission::{CONCURRENCY_LIMIT, WORKER_SATURATION, objective_used};
+use super::admission::{CONCURRENCY_LIMIT, WORKER_SATURATION, objective_used};
+use super::{BACKOFF, Policy};
+use crate::cluster::{Attempt, Worker};
+use crate::model::{
+    Action, AttemptOutcome, AttemptStatus, HealthCheckStatus, InstanceState, LoadMetric, Span, Time,
+    WorkerId, ZoneId,
+};
+use crate::stats::{RatioBounds, ThresholdBounds};
 use std::collections::BTreeSet;
 
 /// Time for which a worker that rejected a request gets no other, or no load.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,11 +9,11 @@
 mod requests;
 mod slow_start;
 
-use crate::cluster::*;
-use crate::collections::*;
-use crate::model::*;
-use crate::stats::*;
-use rand_core::{RngCore, SeedableRng};
+use crate::cluster::Cluster;
+use crate::collections::{BucketClock, ExponentialBackoff, TimerQueue};
+use crate::model::{Action, DiscoveryMode, EndpointUpdateKind, Event, RequestId, Settings, Span, Time};
+use crate::stats::DecayingAverage;
+use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
 /// Time between two rounds of maintenance: short against any keep-alive.
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,7 +1,11 @@
 //! Placement: which worker a request is sent to, by loaded instances, load and hash order.
 
-use super::*;
-use health::LATENCY_RATIO;
+use super::health::LATENCY_RATIO;
+use super::{Policy, Timer};
+use crate::cluster::{Function, Request, Worker};
+use crate::collections::{least_by_cost, retain_unless_few};
+use crate::model::{Action, FunctionId, OnMiss, RequestId, Span, WorkerId};
+use rand_core::RngCore;
 
 /// Pause before a request that found no worker is placed again.
 pub(super) const RETRY_DELAY: Span = Span::from_millis(40);
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,6 +1,9 @@
 //! Popularity of functions: the gold, silver and bronze tiers, and the instances that requests ask for.
 
-use super::*;
+use super::Policy;
+use crate::cluster::Function;
+use crate::collections::take_fitting;
+use crate::model::{FunctionId, Span};
 
 /// Buckets of the popularity window, of ten seconds together (design page).
 const BUCKETS: usize = 5;
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -1,7 +1,10 @@
 //! Load orders: instances loaded ahead of requests, and the pace of all orders.
 
-use super::*;
-use placement::LOAD_PATIENCE;
+use super::placement::LOAD_PATIENCE;
+use super::{BACKOFF, Policy};
+use crate::cluster::Worker;
+use crate::collections::mix64;
+use crate::model::{Action, FunctionId, LoadOutcome, LoadStatus, Span, Time, WorkerId};
 
 /// Part of the keep-alive that is left when an instance is renewed: time to repeat an order that fails.
 const RENEW_MARGIN: f64 = 0.3;
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,7 +1,9 @@
 //! The life of a request: whether it may be retried, and its final answer.
 
-use super::*;
-use placement::RETRY_DELAY;
+use super::placement::RETRY_DELAY;
+use super::{Policy, Timer};
+use crate::cluster::{Attempt, Request, Worker};
+use crate::model::{Action, AttemptOutcome, AttemptStatus, IncomingRequest, RequestId, Span, WorkerId};
 
 /// A keyed retry must arrive this long before the deduplication window ends.
 const DEDUPLICATION_MARGIN: Span = Span::from_millis(100);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,6 +1,9 @@
 //! Slow start: the share of work that a worker which is still warming up may be sent.
 
-use super::*;
+use super::{Policy, WORK_TIME_CONSTANT};
+use crate::cluster::Worker;
+use crate::collections::mix64;
+use crate::model::{RequestId, Span};
 
 /// Part of the budget that is used.
 const BUDGET_USED: f64 = 0.7;
