--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,7 +2,9 @@
 //! settings are in `src/model/mod.rs`, what it knows of the cluster in `src/cluster/mod.rs`.
 
 mod admission;
+mod candidates;
 mod health;
+mod outcomes;
 mod placement;
 mod popularity;
 mod prewarm;
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,24 +1,18 @@
 //! Placement: which worker a request is sent to, by loaded instances, load and hash order.
 
-use super::health::LATENCY_RATIO;
+use super::candidates::{Candidate, Placement};
 use super::{Policy, Timer};
-use crate::cluster::{Function, Request, Worker};
-use crate::collections::{least_by_cost, retain_unless_few};
-use crate::model::{Action, FunctionId, OnMiss, RequestId, Span, WorkerId};
+use crate::cluster::Request;
+use crate::collections::least_by_cost;
+use crate::model::{Action, OnMiss, RequestId, Span, WorkerId};
 use rand_core::RngCore;
 
 /// Pause before a request that found no worker is placed again.
 pub(super) const RETRY_DELAY: Span = Span::from_millis(40);
 /// How long a request waits for a load order before it is placed again.
 pub(super) const LOAD_PATIENCE: Span = Span::from_millis(3000);
-/// How long a worker's answer that a function is not loaded there is believed.
-const MISS_VALIDITY: Span = Span::from_millis(1000);
-/// Workers in hash order that a request looks at, beyond twice the instances wanted.
-const NEARBY_WORKERS: usize = 12;
 /// First places in hash order, where a function that is loaded nowhere is loaded.
 const HOMES: usize = 2;
-/// Requests in flight that crossing a zone weighs as, for each unit of its price.
-const CROSS_ZONE_WEIGHT: f64 = 10.0;
 /// Load that each request beyond an instance's concurrency adds.
 const EXCESS_WEIGHT: f64 = 2.0;
 /// Load by which the first home must exceed the second for a load to go there.
@@ -29,39 +23,6 @@
 const SPILL_DELAY: f64 = 0.08;
 /// Part of the workers without room above which none does.
 const MAX_SPILL_FULL_WORKERS: f64 = 0.34;
-/// Part of the workers that must not be ejected for the ejected ones to be left out.
-const MIN_HEALTHY: f64 = 0.25;
-/// A worker is crowded with this many times the mean requests in flight...
-const CROWD_FACTOR: f64 = 2.0;
-/// ...and this many more.
-const CROWD_ALLOWANCE: f64 = 4.0;
-/// Part of the workers that must not be crowded for the crowded ones to be left out.
-const MIN_UNCROWDED: f64 = 0.5;
-
-/// What the worker for a request is chosen from.
-struct Placement {
-    request: RequestId,
-    function: FunctionId,
-    wanted_instances: usize,
-    /// Workers that may be sent the request, in hash order.
-    candidates: Vec<Candidate>,
-}
-
-/// A worker that may be sent a request.
-struct Candidate {
-    worker: WorkerId,
-    load: f64,
-    has_room: bool,
-    /// The instance's requests beyond those that it runs at a time, with this one.
-    excess: u32,
-    /// An instance is believed loaded there.
-    is_warm: bool,
-    /// Neither the function nor the request has missed or failed there lately.
-    is_untried: bool,
-    /// An instance is believed or assumed loaded there, and untried.
-    is_promising: bool,
-    may_start_load: bool,
-}
 
 impl Policy {
     /// Sends a request to a worker, has it wait, or ends it.
@@ -87,69 +48,6 @@
         }
     }
 
-    /// What there is to choose from, the workers being given by their places in hash order.
-    fn placement(&self, id: RequestId, order: &[usize]) -> Placement {
-        let request = &self.cluster.requests[&id];
-        let function = &self.cluster.functions[&request.function];
-        let demand = self.demand(function, request.class);
-        let by_place: Vec<&Worker> = self.cluster.workers.values().collect();
-        let workers = order.iter().map(|place| by_place[*place]);
-        let allowed = workers.filter(|worker| {
-            worker.endpoint.is_ready()
-                && self.slow_start_admits(id, request.class, worker)
-                && self.may_retry_on(request, worker)
-        });
-        let mut workers = self.preferred(allowed.collect());
-        if !self.is_everywhere(function) {
-            workers.truncate(demand.instances * 2 + NEARBY_WORKERS);
-        }
-        let assumed = if demand.undersampled { demand.instances } else { 0 };
-        let workers = workers.into_iter().enumerate();
-        let candidates = workers.map(|(place, w)| self.candidate(request, function, w, place < assumed));
-        Placement {
-            request: id,
-            function: request.function,
-            wanted_instances: demand.instances,
-            candidates: candidates.collect(),
-        }
-    }
-
-    /// Leaves out ejected workers, unless few would be left, and of the rest the crowded, unless most are.
-    fn preferred<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
-        let is_healthy = |worker: &&Worker| !worker.health.ejection.is_active(self.now);
-        let workers = retain_unless_few(workers, MIN_HEALTHY, is_healthy);
-        let in_flight: f64 = workers.iter().map(|w| w.load.total_in_flight()).sum();
-        let mean = in_flight / workers.len().max(1) as f64;
-        let most = mean * CROWD_FACTOR + CROWD_ALLOWANCE;
-        retain_unless_few(workers, MIN_UNCROWDED, |w| w.load.total_in_flight() <= most)
-    }
-
-    fn candidate(&self, request: &Request, function: &Function, worker: &Worker, assumed: bool) -> Candidate {
-        let instance = worker.instance(request.function);
-        let missed = instance.missed_within(self.now, MISS_VALIDITY);
-        let failed = request.failed_workers.contains(&worker.endpoint.worker);
-        let trusted = self.is_everywhere(function) && self.warm_up_age(worker).is_none();
-        let believed = instance.is_loaded(self.now) || instance.in_flight > 0 || trusted;
-        Candidate {
-            worker: worker.endpoint.worker,
-            load: self.load(worker),
-            has_room: self.has_room(worker, request.class),
-            excess: (instance.in_flight + 1).saturating_sub(function.concurrency),
-            is_warm: believed && !missed,
-            is_untried: !missed && !failed,
-            is_promising: (believed || assumed) && !missed && !failed,
-            may_start_load: !failed && worker.load_backoff_until <= self.now,
-        }
-    }
-
-    /// The load before a new request on a worker: what is in flight there, weighed by its latency and zone.
-    fn load(&self, worker: &Worker) -> f64 {
-        let is_local = worker.endpoint.zone == self.settings.zone;
-        let price = self.settings.prices.cross_zone;
-        let cross_zone = if is_local { 0.0 } else { price };
-        worker.load.expected(self.now, &LATENCY_RATIO) + cross_zone * CROSS_ZONE_WEIGHT
-    }
-
     /// Sends to a loaded instance: for bronze the first in hash order, else the least loaded.
     fn place_warm(&mut self, placement: &Placement, tie_break: u64) {
         let candidates = placement.candidates.iter();
