--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,9 @@
 //! Admission: adaptive concurrency limits of the workers, and load shedding.
+//!
+//! Two signals tell how loaded the workers are. Saturation is the mean fraction of its latency objective that
+//! an attempt used, of one worker or of all. A worker is at capacity when its concurrency limit allows this
+//! scheduler no further request there. [`Policy::queue_or_shed`] is for requests that find no worker below
+//! its limit.
 
 use super::placement::RETRY_DELAY;
 use super::{Policy, Timer};
@@ -7,7 +12,7 @@
 use crate::model::{AttemptOutcome, AttemptStatus, RequestId, Span, Time};
 use rand_core::RngCore;
 
-/// This scheduler's requests in flight on a worker.
+/// Bounds of a worker's concurrency limit: the most requests of this scheduler in flight there.
 pub(super) const CONCURRENCY_LIMIT: AimdBounds = AimdBounds {
     initial: 8.0,
     min: 1.0,
@@ -17,30 +22,33 @@
     decrease_interval: Span::from_millis(150),
     headroom: 2.0,
 };
-/// Mean part of the objective used from which a worker is saturated: one request in 17 is then late.
+/// Saturation above which a worker has too many requests in flight.
 pub(super) const WORKER_SATURATION: f64 = 0.35;
 /// Weight of a response in its worker's saturation.
 const WORKER_WEIGHT: f64 = 0.15;
-/// Saturation over all workers from which requests are shed.
+/// Saturation over all workers from which new requests are shed.
 const SHED_SATURATION: f64 = 0.5;
-/// Priority for its work, as a multiple of another class's, that gets a class as much more room.
+/// Priority for its work, as a multiple of another class's, from which a class has high priority. Its
+/// requests are shed later, and a worker's concurrency limit is this multiple for them.
 const HIGH_PRIORITY: f64 = 1.5;
-/// Part of the workers without room above which waits are cut short.
-const CROWDED_WORKERS: f64 = 0.5;
-/// Part of its latency objective that a request may wait for room then.
-const CROWDED_WAIT: f64 = 0.2;
-/// Part of the time until its deadline that a request may wait for room.
+/// What the first request that waits for a load counts less in its worker's limit than one that runs.
+const LOADING_DISCOUNT: f64 = 0.5;
+/// Fraction of the workers at capacity above which the fleet is overloaded and waits are cut short.
+const OVERLOADED_FRACTION: f64 = 0.5;
+/// How long a request may wait for capacity in an overloaded fleet, as a fraction of its latency objective.
+const OVERLOADED_MAX_WAIT: f64 = 0.2;
+/// How long a request may wait for capacity at all, as a fraction of the time until its deadline.
 const MAX_WAIT: f64 = 0.4;
-/// Least time in seconds that anything is divided by.
+/// Least divisor where a time is divided by.
 const MIN_SECONDS: f64 = 0.001;
 
-/// The part of its latency objective that an attempt used, where that tells how full workers are: neither a
-/// wait for a load does, nor a request's second rejection.
+/// The fraction of its latency objective that an attempt used, where that shows how loaded workers are:
+/// neither a wait for a load does, nor a request's second rejection.
 pub(super) fn objective_used(attempt: &Attempt, outcome: &AttemptOutcome) -> Option<f64> {
     let objective = attempt.latency_objective.as_secs_f64().max(MIN_SECONDS);
-    let part = (outcome.latency.as_secs_f64() / objective).min(1.0);
+    let fraction = (outcome.latency.as_secs_f64() / objective).min(1.0);
     match outcome.status {
-        AttemptStatus::Ok if attempt.expected_warm => Some(part),
+        AttemptStatus::Ok if attempt.expected_warm => Some(fraction),
         AttemptStatus::AtCapacity if attempt.expected_warm && outcome.attempt == 0 => Some(1.0),
         AttemptStatus::Timeout => Some(1.0),
         _ => None,
@@ -48,7 +56,8 @@
 }
 
 impl Worker {
-    /// Adapts the concurrency limit to the part of its objective that a request used at a loaded instance.
+    /// Adapts the concurrency limit to the fraction of its objective that a request used at a loaded
+    /// instance.
     pub(super) fn adapt_limit(&mut self, objective_used: f64, now: Time) {
         self.saturation.update(objective_used, WORKER_WEIGHT);
         // The mean lags behind: a quick response is no sign of overload.
@@ -62,12 +71,13 @@
 }
 
 impl Policy {
-    /// Draws whether a new request is shed, before it queues anywhere: beyond a saturation ever more are.
-    pub(super) fn sheds(&mut self, class: usize) -> bool {
-        let excess = (self.saturation.value() - SHED_SATURATION) / (1.0 - SHED_SATURATION);
+    /// Draws whether a new request is shed, before it queues anywhere: the further saturation is beyond
+    /// [`SHED_SATURATION`], the likelier.
+    pub(super) fn should_shed(&mut self, class: usize) -> bool {
+        let overload = (self.saturation.value() - SHED_SATURATION) / (1.0 - SHED_SATURATION);
         let is_high = self.is_high_priority(class);
-        // High priority is shed only from half of the excess on.
-        let probability = if is_high { excess * 2.0 - 1.0 } else { excess };
+        // High priority is shed only from half of the overload on.
+        let probability = if is_high { overload * 2.0 - 1.0 } else { overload };
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX) < probability
     }
 
@@ -79,31 +89,32 @@
     }
 
     /// Whether a worker's limit allows another request. The first that waits for a load takes no core there
-    /// and counts half; more of them will want their cores at once.
-    pub(super) fn has_room(&self, worker: &Worker, class: usize) -> bool {
+    /// yet; more of them will want their cores at once.
+    pub(super) fn has_capacity(&self, worker: &Worker, class: usize) -> bool {
         let is_high = self.is_high_priority(class);
         let factor = if is_high { HIGH_PRIORITY } else { 1.0 };
         let limit = worker.concurrency_limit.value(&CONCURRENCY_LIMIT) * factor;
         let loading = worker.awaited_loads(self.now) as f64;
-        f64::from(worker.load.in_flight()) - loading / 2.0 + 1.0 <= limit.max(1.0)
+        f64::from(worker.load.in_flight()) - loading * LOADING_DISCOUNT + 1.0 <= limit.max(1.0)
     }
 
-    pub(super) fn measure_full_workers(&mut self) {
+    /// Measures the fraction of the workers that are at capacity, by the first class.
+    pub(super) fn measure_fraction_at_capacity(&mut self) {
         let workers = self.cluster.workers.values();
-        let full = workers.filter(|w| !self.has_room(w, 0)).count();
-        self.full_workers = full as f64 / self.cluster.workers.len().max(1) as f64;
+        let at_capacity = workers.filter(|w| !self.has_capacity(w, 0)).count();
+        self.fraction_at_capacity = at_capacity as f64 / self.cluster.workers.len().max(1) as f64;
     }
 
-    /// Has a request wait here, where it makes no worker's queue longer, or ends it where it would be late.
-    pub(super) fn hold_back(&mut self, id: RequestId) {
-        self.measure_full_workers();
+    /// Queues a request here, where it makes no worker's queue longer, or sheds it where it would be late.
+    pub(super) fn queue_or_shed(&mut self, id: RequestId) {
+        self.measure_fraction_at_capacity();
         let request = &self.cluster.requests[&id];
         let has_waited = |wait: Span| self.now > request.received_at + wait;
-        let is_crowded = self.full_workers > CROWDED_WORKERS;
-        let is_late = is_crowded && has_waited(request.latency_objective.mul_f64(CROWDED_WAIT));
+        let is_overloaded = self.fraction_at_capacity > OVERLOADED_FRACTION;
+        let is_late = is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT));
         let is_hopeless = has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT));
         if is_late || is_hopeless || !self.may_retry(request.class, request.first_run()) {
-            self.give_up(id);
+            self.reject_or_fail(id);
         } else {
             self.schedule(RETRY_DELAY, Timer::Placement(id));
         }
--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -6,20 +6,22 @@
 use crate::collections::retain_unless_few;
 use crate::model::{FunctionId, RequestId, Span, WorkerId};
 
-/// How long a worker's answer that a function is not loaded there is believed.
+/// How long a miss says that an instance is not loaded.
 const MISS_VALIDITY: Span = Span::from_millis(1000);
-/// Workers in hash order that a request looks at, beyond twice the instances wanted.
+/// Workers in hash order that a request looks at for each instance wanted...
+const NEARBY_WORKERS_PER_INSTANCE: usize = 2;
+/// ...and this many more.
 const NEARBY_WORKERS: usize = 12;
 /// Requests in flight that crossing a zone weighs as, for each unit of its price.
 const CROSS_ZONE_WEIGHT: f64 = 10.0;
-/// Part of the workers that must not be ejected for the ejected ones to be left out.
+/// Fraction of the workers that must not be ejected for the ejected ones to be left out.
 const MIN_HEALTHY: f64 = 0.25;
-/// A worker is crowded with this many times the mean requests in flight...
-const CROWD_FACTOR: f64 = 2.0;
+/// A worker is a hotspot with more than this many times the mean requests in flight...
+const HOTSPOT_FACTOR: f64 = 2.0;
 /// ...and this many more.
-const CROWD_ALLOWANCE: f64 = 4.0;
-/// Part of the workers that must not be crowded for the crowded ones to be left out.
-const MIN_UNCROWDED: f64 = 0.5;
+const HOTSPOT_ALLOWANCE: f64 = 4.0;
+/// Fraction of the workers that must be no hotspots for the hotspots to be left out.
+const MIN_OUTSIDE_HOTSPOTS: f64 = 0.5;
 
 /// What the worker for a request is chosen from.
 pub(super) struct Placement {
@@ -33,16 +35,20 @@
 /// A worker that may be sent a request.
 pub(super) struct Candidate {
     pub(super) worker: WorkerId,
+    /// What is in flight there, weighed by latency and zone.
     pub(super) load: f64,
-    pub(super) has_room: bool,
-    /// The instance's requests beyond those that it runs at a time, with this one.
-    pub(super) excess: u32,
-    /// An instance is believed loaded there.
-    pub(super) is_warm: bool,
-    /// Neither the function nor the request has missed or failed there lately.
-    pub(super) is_untried: bool,
-    /// An instance is believed or assumed loaded there, and untried.
-    pub(super) is_promising: bool,
+    /// Its concurrency limit allows the request.
+    pub(super) has_capacity: bool,
+    /// Requests that would queue at the instance, this one included: those beyond what it runs at a time.
+    pub(super) queued_requests: u32,
+    /// An instance is expected loaded there, by what this scheduler knows of the worker.
+    pub(super) expected_warm: bool,
+    /// Neither has the function been missed there nor the request failed there lately.
+    pub(super) has_no_recent_failure: bool,
+    /// An instance is expected there, or presumed by the hash order alone, and nothing has failed there
+    /// lately.
+    pub(super) is_presumed_warm: bool,
+    /// A request may start a load there.
     pub(super) may_start_load: bool,
 }
 
@@ -59,13 +65,19 @@
                 && self.slow_start_admits(id, request.class, worker)
                 && self.may_retry_on(request, worker)
         });
-        let mut workers = self.preferred(allowed.collect());
-        if !self.is_everywhere(function) {
-            workers.truncate(demand.instances * 2 + NEARBY_WORKERS);
+        let mut workers = self.without_outliers(allowed.collect());
+        if !self.is_replicated_to_all(function) {
+            workers.truncate(demand.instances * NEARBY_WORKERS_PER_INSTANCE + NEARBY_WORKERS);
         }
-        let assumed = if demand.undersampled { demand.instances } else { 0 };
+        // Other schedulers' requests have had the instances loaded where the common hash order says.
+        let presumed_instances = if demand.is_sparsely_sampled {
+            demand.instances
+        } else {
+            0
+        };
         let workers = workers.into_iter().enumerate();
-        let candidates = workers.map(|(place, w)| self.candidate(request, function, w, place < assumed));
+        let candidates =
+            workers.map(|(place, w)| self.candidate(request, function, w, place < presumed_instances));
         Placement {
             request: id,
             function: request.function,
@@ -74,35 +86,43 @@
         }
     }
 
-    /// Leaves out ejected workers, unless few would be left, and of the rest the crowded, unless most are.
-    fn preferred<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
+    /// Leaves out ejected workers, unless few would be left, and of the rest the hotspots, unless most are.
+    fn without_outliers<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
         let is_healthy = |worker: &&Worker| !worker.health.ejection.is_active(self.now);
         let workers = retain_unless_few(workers, MIN_HEALTHY, is_healthy);
         let in_flight: f64 = workers.iter().map(|w| w.load.total_in_flight()).sum();
         let mean = in_flight / workers.len().max(1) as f64;
-        let most = mean * CROWD_FACTOR + CROWD_ALLOWANCE;
-        retain_unless_few(workers, MIN_UNCROWDED, |w| w.load.total_in_flight() <= most)
+        let most = mean * HOTSPOT_FACTOR + HOTSPOT_ALLOWANCE;
+        retain_unless_few(workers, MIN_OUTSIDE_HOTSPOTS, |w| {
+            w.load.total_in_flight() <= most
+        })
     }
 
-    fn candidate(&self, request: &Request, function: &Function, worker: &Worker, assumed: bool) -> Candidate {
+    fn candidate(
+        &self,
+        request: &Request,
+        function: &Function,
+        worker: &Worker,
+        presumed_warm: bool,
+    ) -> Candidate {
         let instance = worker.instance(request.function);
         let missed = instance.missed_within(self.now, MISS_VALIDITY);
         let failed = request.failed_workers.contains(&worker.endpoint.worker);
-        let trusted = self.is_everywhere(function) && self.warm_up_age(worker).is_none();
-        let believed = instance.is_loaded(self.now) || instance.in_flight > 0 || trusted;
+        let is_replica = self.is_replicated_to_all(function) && self.warm_up_age(worker).is_none();
+        let expected_warm = instance.is_loaded(self.now) || instance.in_flight > 0 || is_replica;
         Candidate {
             worker: worker.endpoint.worker,
             load: self.load(worker),
-            has_room: self.has_room(worker, request.class),
-            excess: (instance.in_flight + 1).saturating_sub(function.concurrency),
-            is_warm: believed && !missed,
-            is_untried: !missed && !failed,
-            is_promising: (believed || assumed) && !missed && !failed,
+            has_capacity: self.has_capacity(worker, request.class),
+            queued_requests: (instance.in_flight + 1).saturating_sub(function.concurrency),
+            expected_warm: expected_warm && !missed,
+            has_no_recent_failure: !missed && !failed,
+            is_presumed_warm: (expected_warm || presumed_warm) && !missed && !failed,
             may_start_load: !failed && worker.load_backoff_until <= self.now,
         }
     }
 
-    /// The load before a new request on a worker: what is in flight there, weighed by its latency and zone.
+    /// The load on a worker with a new request: what is in flight there, weighed by its latency and zone.
     pub(super) fn load(&self, worker: &Worker) -> f64 {
         let is_local = worker.endpoint.zone == self.settings.zone;
         let price = self.settings.prices.cross_zone;
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -5,17 +5,19 @@
 use crate::model::{Action, HealthCheckStatus, Span, Time, WorkerId, ZoneId};
 use std::collections::BTreeSet;
 
-/// A worker with requests in flight that was silent for this long is checked.
+/// A worker with requests in flight is sent a health check once it has been silent for this long.
 const CHECK_AFTER: Span = Span::from_millis(800);
 /// Unanswered health checks in a row for which a worker is ejected.
 const MAX_UNANSWERED_CHECKS: u32 = 2;
-/// Part of its latency objective for which an attempt hears nothing before its zone is suspected.
+/// Silence after an attempt, as a fraction of its latency objective, from which its zone is suspected.
 const ZONE_SILENCE: f64 = 0.5;
 /// Silent workers for which a zone is ejected.
 const ZONE_SILENT_WORKERS: usize = 3;
+/// The same while all of the zone's workers have been ejected and not responded since.
+const EJECTED_ZONE_SILENT_WORKERS: usize = 1;
 
 impl Worker {
-    /// Leaves a worker that cannot be reached alone; nothing is believed loaded there.
+    /// Ejects a worker that cannot be reached; nothing is expected loaded there.
     pub(super) fn eject(&mut self, now: Time) {
         self.health.ejection.begin(now, BACKOFF);
         self.expire_instances();
@@ -37,14 +39,12 @@
         }
     }
 
-    /// Takes in the end of a health check; a worker that answers none is lost.
+    /// Takes in the end of a health check; a worker that leaves several in a row unanswered is ejected.
     pub(super) fn health_check_finished(&mut self, id: WorkerId, status: HealthCheckStatus) {
         let worker = self.cluster.workers.get_mut(&id);
         let Some(worker) = worker else { return };
-        let unanswered = worker
-            .health
-            .liveness
-            .end_check(status == HealthCheckStatus::Alive, self.now);
+        let is_alive = status == HealthCheckStatus::Alive;
+        let unanswered = worker.health.liveness.end_check(is_alive, self.now);
         if unanswered >= MAX_UNANSWERED_CHECKS {
             worker.health.liveness.heard(self.now);
             worker.eject(self.now);
@@ -52,6 +52,7 @@
         }
     }
 
+    /// Ejects the workers of zones that are cut off.
     pub(super) fn eject_silent_zones(&mut self) {
         for (zone, workers) in self.cluster.workers_by_zone() {
             let is_cut_off = self.is_cut_off(zone);
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Whether a zone has not responded to several attempts for a part of their objective, while another zone
-    /// has responded since. Once all of it has been ejected, one attempt is enough.
+    /// Whether a zone has not responded to several attempts for a fraction of their objective, while another
+    /// zone has responded since. Once all of it has been ejected, one attempt is enough.
     fn is_cut_off(&self, zone: ZoneId) -> bool {
         let inside = self.cluster.last_heard(|worker| worker.endpoint.zone == zone);
         let outside = self.cluster.last_heard(|worker| worker.endpoint.zone != zone);
@@ -75,6 +76,11 @@
         let silent: BTreeSet<WorkerId> = attempts.map(|a| a.endpoint.worker).collect();
         let mut workers = self.cluster.workers.values().filter(|w| w.endpoint.zone == zone);
         let all_ejected = workers.all(|worker| worker.health.ejection.failures() > 0);
-        silent.len() >= if all_ejected { 1 } else { ZONE_SILENT_WORKERS }
+        let needed = if all_ejected {
+            EJECTED_ZONE_SILENT_WORKERS
+        } else {
+            ZONE_SILENT_WORKERS
+        };
+        silent.len() >= needed
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,20 @@
 //! The decisions of one scheduler: a state machine without clock, I/O or threads. Its events, actions and
 //! settings are in `src/model/mod.rs`, what it knows of the cluster in `src/cluster/mod.rs`.
+//!
+//! This file has the state, the dispatch of events and timers, and the periodic maintenance. Each decision is
+//! in a module that adds methods to [`Policy`]:
+//!
+//! - `requests`: whether a request is retried, and how it ends;
+//! - `placement`: which worker it is sent to, out of the `candidates`;
+//! - `admission`: whether it is admitted, queued or shed, and the workers' concurrency limits;
+//! - `slow_start`: what a worker that is warming up may be sent;
+//! - `popularity`: the tiers of the functions, and how many instances are wanted;
+//! - `prewarm`: the load orders;
+//! - `outcomes`: what the end of an attempt says;
+//! - `health`: health checks and ejection.
+//!
+//! The tiers gold, silver and bronze are the terms of the paper that the design follows: Björkqvist et al.,
+//! "Minimizing Retrieval Latency for Content Cloud".
 
 mod admission;
 mod candidates;
@@ -20,13 +35,13 @@
 
 /// Time between two rounds of maintenance: short against any keep-alive.
 const MAINTENANCE_INTERVAL: Span = Span::from_millis(200);
-/// Time in which the reported load of other schedulers halves.
+/// Time in which the load that workers have reported of other schedulers halves.
 const REPORT_HALF_LIFE: Span = Span::from_millis(4000);
 /// Time constant of the rate of completed work.
 const WORK_TIME_CONSTANT: Span = Span::from_millis(5000);
-/// First baseline latency of a class, as a part of its latency objective.
-const INITIAL_BASELINE: f64 = 0.25;
-/// Ejection of a worker that failed, or of an instance whose load did.
+/// First baseline latency of a class, as a fraction of its latency objective.
+const INITIAL_BASELINE_FRACTION: f64 = 0.25;
+/// Backoff of a worker that failed, and of load orders for an instance whose load failed.
 const BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(400), 4);
 
 /// What a timer is for; of several at one time the first here comes first.
@@ -46,14 +61,14 @@
     /// The actions that the current event leads to, so far.
     actions: Vec<Action>,
     cluster: Cluster,
-    /// Mean part of the latency objective that attempts used, over all workers.
+    /// Mean fraction of the latency objective, 0 to 1, that attempts used, over all workers.
     saturation: DecayingAverage,
-    /// Part of the workers without room, as last measured.
-    full_workers: f64,
+    /// Fraction of the workers, 0 to 1, that are at capacity, as last measured.
+    fraction_at_capacity: f64,
 }
 
 impl Policy {
-    /// A scheduler that knows nothing but its settings. The seed decides all its ties.
+    /// A scheduler that knows nothing but its settings. The seed decides all its random draws.
     pub fn new(settings: Settings, seed: u64) -> Policy {
         let mut policy = Policy {
             settings: settings.clone(),
@@ -63,7 +78,7 @@
             actions: Vec::new(),
             cluster: Cluster::default(),
             saturation: DecayingAverage::default(),
-            full_workers: 0.0,
+            fraction_at_capacity: 0.0,
         };
         policy.configure(settings);
         policy
@@ -73,7 +88,7 @@
     pub fn configure(&mut self, settings: Settings) {
         let baselines = &mut self.cluster.baseline_latency;
         for class in settings.classes.iter().skip(baselines.len()) {
-            let baseline = class.latency_objective.as_secs_f64() * INITIAL_BASELINE;
+            let baseline = class.latency_objective.as_secs_f64() * INITIAL_BASELINE_FRACTION;
             baselines.push(DecayingAverage::new(baseline));
         }
         self.cluster.hashes_by_weight = settings.weights_are_capacities;
@@ -88,6 +103,15 @@
             self.cluster.popularity_window = BucketClock::new(self.now);
             self.subscribe();
         }
+        self.handle_event(event);
+        self.run_expired_timers();
+        let wake_up = self.timers.next_wake_up(self.now);
+        self.actions
+            .extend(wake_up.map(|delay| Action::SetTimer { delay }));
+        out.append(&mut self.actions);
+    }
+
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::Failed,
@@ -103,17 +127,16 @@
             Event::HealthCheckFinished { worker, status } => self.health_check_finished(worker, status),
             Event::TimerFired => self.timers.woken_up(),
         }
+    }
+
+    fn run_expired_timers(&mut self) {
         while let Some(timer) = self.timers.pop_expired(self.now) {
             match timer {
-                Timer::Maintenance => self.maintain(),
-                Timer::Deadline(id) => self.give_up(id),
+                Timer::Maintenance => self.run_maintenance(),
+                Timer::Deadline(id) => self.reject_or_fail(id),
                 Timer::Placement(id) => self.place(id),
             }
         }
-        let wake_up = self.timers.next_wake_up(self.now);
-        self.actions
-            .extend(wake_up.map(|delay| Action::SetTimer { delay }));
-        out.append(&mut self.actions);
     }
 
     fn schedule(&mut self, delay: Span, timer: Timer) {
@@ -125,10 +148,10 @@
         self.actions.extend(on_request.then_some(Action::Subscribe));
     }
 
-    fn maintain(&mut self) {
+    fn run_maintenance(&mut self) {
         self.schedule(MAINTENANCE_INTERVAL, Timer::Maintenance);
-        self.forget_old();
-        self.measure_full_workers();
+        self.expire_old_records();
+        self.measure_fraction_at_capacity();
         self.update_tiers();
         let permissions = &self.settings.permissions;
         if permissions.may_cancel && permissions.may_probe {
@@ -139,8 +162,8 @@
         self.prewarm_gold();
     }
 
-    /// Forgets what has left every window, and lets sums fade.
-    fn forget_old(&mut self) {
+    /// Drops the records that have left every window, and decays the sums.
+    fn expire_old_records(&mut self) {
         let limits = &self.settings.safety_limits;
         let rate_window = limits.load_rate_limit.map_or(Span(0), |limit| limit.window);
         self.cluster.forget_traffic(self.now - rate_window);
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -6,9 +6,9 @@
 use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, LoadMetric, Span, Time};
 use crate::stats::{RatioBounds, ThresholdBounds};
 
-/// Time for which a worker that rejected a request gets no other, or no load.
+/// How long a worker that rejected a request gets no other, or no load.
 const REJECTION_PAUSE: Span = Span::from_millis(150);
-/// Attempts that are reset within this time broke with one connection.
+/// Attempts that are reset within this time were lost with one connection.
 const RESET_BURST: Span = Span::from_millis(30);
 /// Broken connections in a row for which a worker is ejected.
 const MAX_RESETS: u32 = 3;
@@ -16,16 +16,17 @@
 const SATURATION_WEIGHT: f64 = 0.1;
 /// Weight of a latency in its class's baseline.
 const BASELINE_WEIGHT: f64 = 0.02;
-/// What a timeout multiplies a latency ratio by.
+/// What a timeout multiplies a worker's latency ratio by.
 const TIMEOUT_FACTOR: f64 = 1.3;
-/// Error rate of a worker's loaded instances for which it is ejected, or its failures are forgotten.
+/// Error rate of a worker's loaded instances: when the worker is ejected, and when its failures are
+/// forgotten.
 const ERROR_RATE: ThresholdBounds = ThresholdBounds {
     sample_weight: 0.2,
     threshold: 0.4,
     restart: 0.25,
     recovered: 0.125,
 };
-/// A worker's latency as a ratio to the baseline.
+/// A worker's latency as a ratio to its class's baseline.
 pub(super) const LATENCY_RATIO: RatioBounds = RatioBounds {
     min: 0.5,
     max: 12.0,
@@ -35,7 +36,25 @@
 };
 
 impl Worker {
-    fn record_status(&mut self, status: AttemptStatus, attempt: &Attempt, is_silent: bool, now: Time) {
+    /// Records whether a loaded instance served an attempt; a worker of which too many fail is ejected.
+    /// Without this a worker that fails at once would look idle and draw ever more requests.
+    fn record_error_rate(&mut self, status: AttemptStatus, attempt: &Attempt, now: Time) {
+        // Where none was expected loaded, it may be the load that failed.
+        if !attempt.expected_warm {
+            return;
+        }
+        let error = match status {
+            AttemptStatus::Ok => 0.0,
+            AttemptStatus::Error => 1.0,
+            _ => return,
+        };
+        if self.health.error_rate.record(error, &ERROR_RATE) {
+            self.health.ejection.extend(now, BACKOFF);
+        }
+    }
+
+    /// Records what a status says of the worker and of its instance, where the attempt did not succeed.
+    fn record_failure(&mut self, status: AttemptStatus, attempt: &Attempt, is_silent: bool, now: Time) {
         let is_saturated = attempt.expected_warm && self.saturation.value() >= WORKER_SATURATION;
         match status {
             AttemptStatus::Miss => self.instance_mut(attempt.function).miss(now),
@@ -71,39 +90,30 @@
 }
 
 impl Policy {
-    /// Learns from the end of an attempt of the worker, its instance, and how full all workers are.
-    pub(super) fn learn(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
+    /// Records the end of an attempt at its worker and instance, and in the saturation over all workers.
+    pub(super) fn record_outcome(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let now = self.now;
         let objective = self.settings.classes[attempt.class].latency_objective;
-        let settings = &self.settings;
-        let held = settings.load_metric(LoadMetric::InFlight, &outcome.load_report);
+        let reported_in_flight = self
+            .settings
+            .load_metric(LoadMetric::InFlight, &outcome.load_report);
         let worker = self.cluster.process_of(attempt);
         let Some(worker) = worker else { return };
-        let was_silent = worker.end_attempt(attempt, outcome.status, held, now);
+        let was_silent = worker.end_attempt(attempt, outcome.status, reported_in_flight, now);
         let is_silent = was_silent && outcome.latency >= objective;
         if outcome.instance_state == InstanceState::LoadFailed {
             worker.instance_mut(attempt.function).fail_load(now, BACKOFF);
         }
-        // What fails at once looks idle and draws ever more. Where none was loaded, a load may have failed.
-        let is_served =
-            attempt.expected_warm && matches!(outcome.status, AttemptStatus::Ok | AttemptStatus::Error);
-        let error = if outcome.status == AttemptStatus::Error {
-            1.0
-        } else {
-            0.0
-        };
-        if is_served && worker.health.error_rate.record(error, &ERROR_RATE) {
-            worker.health.ejection.extend(now, BACKOFF);
-        }
-        worker.record_status(outcome.status, attempt, is_silent, now);
+        worker.record_error_rate(outcome.status, attempt, now);
+        worker.record_failure(outcome.status, attempt, is_silent, now);
         let used = objective_used(attempt, outcome).unwrap_or(self.saturation.value());
         self.saturation.update(used, SATURATION_WEIGHT);
         if outcome.status == AttemptStatus::Ok {
-            self.learn_from_success(outcome, attempt, used);
+            self.record_success(outcome, attempt, used);
         }
     }
 
-    fn learn_from_success(&mut self, outcome: &AttemptOutcome, attempt: &Attempt, objective_used: f64) {
+    fn record_success(&mut self, outcome: &AttemptOutcome, attempt: &Attempt, objective_used: f64) {
         let worker = self.cluster.workers.get_mut(&attempt.endpoint.worker);
         let Some(worker) = worker else { return };
         worker.health.resets.reset();
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,4 +1,7 @@
 //! Placement: which worker a request is sent to, by loaded instances, load and hash order.
+//!
+//! A function's primary workers are the first in its hash order that qualify: all schedulers try them first,
+//! so its requests meet its instances there.
 
 use super::candidates::{Candidate, Placement};
 use super::{Policy, Timer};
@@ -10,19 +13,19 @@
 /// Pause before a request that found no worker is placed again.
 pub(super) const RETRY_DELAY: Span = Span::from_millis(40);
 /// How long a request waits for a load order before it is placed again.
-pub(super) const LOAD_PATIENCE: Span = Span::from_millis(3000);
-/// First places in hash order, where a function that is loaded nowhere is loaded.
-const HOMES: usize = 2;
-/// Load that each request beyond an instance's concurrency adds.
-const EXCESS_WEIGHT: f64 = 2.0;
-/// Load by which the first home must exceed the second for a load to go there.
-const SECOND_HOME_MARGIN: f64 = 1.5;
+pub(super) const LOAD_ORDER_PATIENCE: Span = Span::from_millis(3000);
+/// Workers that a function may be loaded on which is loaded nowhere.
+const PRIMARY_WORKERS: usize = 2;
+/// Load that each queued request at an instance adds.
+const QUEUED_REQUEST_WEIGHT: f64 = 2.0;
+/// Load by which the first primary worker must exceed the second for a load to go to the second.
+const SECOND_PRIMARY_MARGIN: f64 = 1.5;
 /// Load by which the best worker must exceed another for an instance to be added there.
 const SCALE_OUT_MARGIN: f64 = 1.0;
-/// Part of its latency objective after which a request may start a load elsewhere.
-const SPILL_DELAY: f64 = 0.08;
-/// Part of the workers without room above which none does.
-const MAX_SPILL_FULL_WORKERS: f64 = 0.34;
+/// Wait, as a fraction of its latency objective, after which a request may start a load on a further worker.
+const OVERFLOW_DELAY: f64 = 0.08;
+/// Fraction of the workers at capacity above which no request does.
+const OVERFLOW_MAX_FRACTION: f64 = 0.34;
 
 impl Policy {
     /// Sends a request to a worker, has it wait, or ends it.
@@ -32,14 +35,14 @@
         let Some(request) = request else { return };
         request.awaits_load = false;
         if request.attempts() >= self.settings.permissions.max_attempts {
-            return self.give_up(id);
+            return self.reject_or_fail(id);
         }
         let function = request.function;
         let order = self.cluster.hash_order_places(function);
         let placement = self.placement(id, &order);
-        if !placement.candidates.iter().any(|c| c.has_room) {
-            self.hold_back(id);
-        } else if placement.candidates.iter().any(|c| c.is_promising) {
+        if !placement.candidates.iter().any(|c| c.has_capacity) {
+            self.queue_or_shed(id);
+        } else if placement.candidates.iter().any(|c| c.is_presumed_warm) {
             self.place_warm(&placement, tie_break);
         } else if self.settings.loading.on_miss == OnMiss::Load {
             self.place_cold(&placement);
@@ -51,91 +54,99 @@
     /// Sends to a loaded instance: for bronze the first in hash order, else the least loaded.
     fn place_warm(&mut self, placement: &Placement, tie_break: u64) {
         let candidates = placement.candidates.iter();
-        let open = candidates.filter(|c| c.is_promising && c.has_room);
-        let home = open.clone().find(|c| c.excess == 0);
-        let home = home.filter(|_| self.is_bronze(placement.function));
-        let cost = |c: &&Candidate| c.load + EXCESS_WEIGHT * f64::from(c.excess);
+        let open = candidates.filter(|c| c.is_presumed_warm && c.has_capacity);
+        let primary = open.clone().find(|c| c.queued_requests == 0);
+        let primary = primary.filter(|_| self.is_bronze(placement.function));
+        let cost = |c: &&Candidate| c.load + QUEUED_REQUEST_WEIGHT * f64::from(c.queued_requests);
         let least_loaded = || least_by_cost(open, tie_break, |c| c.worker.0, cost);
-        let Some(best) = home.or_else(least_loaded) else {
-            return self.spill(placement);
+        let Some(best) = primary.or_else(least_loaded) else {
+            return self.overflow_or_queue(placement);
         };
-        self.send(placement.request, best.worker, best.is_warm);
-        if best.excess > 0 {
+        self.send(placement.request, best.worker, best.expected_warm);
+        if best.queued_requests > 0 {
             self.scale_out(placement, best.worker);
         }
     }
 
-    /// No loaded instance has room: a load where there is room may end sooner than the wait for one.
-    fn spill(&mut self, placement: &Placement) {
-        let others = placement.candidates.iter().filter(|c| !c.is_promising);
-        let home = load_home(others.filter(|c| c.has_room && c.may_start_load));
-        let home = home.filter(|_| self.may_spill(&self.cluster.requests[&placement.request]));
-        if let Some(home) = home {
-            return self.send(placement.request, home, false);
+    /// All loaded instances are at capacity: the request starts a load on a further worker, which may end
+    /// sooner than the wait for an instance, or it queues here.
+    fn overflow_or_queue(&mut self, placement: &Placement) {
+        let others = placement.candidates.iter().filter(|c| !c.is_presumed_warm);
+        let primary = less_loaded_primary(others.filter(|c| c.has_capacity && c.may_start_load));
+        let primary = primary.filter(|_| self.may_overflow(&self.cluster.requests[&placement.request]));
+        if let Some(primary) = primary {
+            return self.send(placement.request, primary, false);
         }
-        self.hold_back(placement.request);
-        if let Some(first) = placement.candidates.iter().find(|c| c.is_promising) {
+        self.queue_or_shed(placement.request);
+        if let Some(first) = placement.candidates.iter().find(|c| c.is_presumed_warm) {
             self.scale_out(placement, first.worker);
         }
     }
 
     /// Whether a request has waited long enough to start a load elsewhere: one at a time for a function.
-    fn may_spill(&self, request: &Request) -> bool {
+    fn may_overflow(&self, request: &Request) -> bool {
         let waited = self.now - request.received_at;
         self.settings.loading.on_miss == OnMiss::Load
-            && self.full_workers <= MAX_SPILL_FULL_WORKERS
-            && waited >= request.latency_objective.mul_f64(SPILL_DELAY)
+            && self.fraction_at_capacity <= OVERFLOW_MAX_FRACTION
+            && waited >= request.latency_objective.mul_f64(OVERFLOW_DELAY)
             && !self.cluster.is_load_awaited(request.function, self.now)
     }
 
     /// Orders another instance where demand asks for it and the next worker is clearly less loaded.
     fn scale_out(&mut self, placement: &Placement, best: WorkerId) {
-        let promising = placement.candidates.iter().filter(|c| c.is_promising).count();
-        let next = placement.candidates.iter().find(|c| !c.is_promising);
+        let warm_workers = placement.candidates.iter().filter(|c| c.is_presumed_warm);
+        let warm_workers = warm_workers.count();
+        let next = placement.candidates.iter().find(|c| !c.is_presumed_warm);
         let best_load = self.load(&self.cluster.workers[&best]);
         if let Some(next) = next.filter(|next| next.load + SCALE_OUT_MARGIN < best_load)
-            && promising < placement.wanted_instances
+            && warm_workers < placement.wanted_instances
             && self.pending_loads(placement.function) == 0
         {
             self.order_load(next.worker, placement.function);
         }
     }
 
-    /// Sends to a home in hash order, where the request itself starts the load.
+    /// Sends to a primary worker, where the request itself starts the load.
     fn place_cold(&mut self, placement: &Placement) {
-        let free = placement.candidates.iter().filter(|c| c.excess == 0);
-        let fresh = free.clone().filter(|c| c.may_start_load);
-        let homes = fresh.chain(free).take(HOMES);
-        match load_home(homes.filter(|c| c.has_room)) {
-            Some(home) => self.send(placement.request, home, false),
-            None => self.hold_back(placement.request),
+        let unqueued = placement.candidates.iter().filter(|c| c.queued_requests == 0);
+        let loadable = unqueued.clone().filter(|c| c.may_start_load);
+        let primaries = loadable.chain(unqueued).take(PRIMARY_WORKERS);
+        match less_loaded_primary(primaries.filter(|c| c.has_capacity)) {
+            Some(primary) => self.send(placement.request, primary, false),
+            None => self.queue_or_shed(placement.request),
         }
     }
 
-    /// Asks the homes whether they have the function loaded; if none has, the request waits for a load order.
+    /// Tries the primary workers, which may have the function loaded; if none has, the request waits for a
+    /// load order.
     fn place_after_load(&mut self, placement: &Placement) {
         let id = placement.request;
         let function = placement.function;
         if self.pending_loads(function) == 0 {
-            let mut homes = placement.candidates.iter().take(HOMES);
-            if let Some(home) = homes.find(|c| c.is_untried && c.has_room) {
-                return self.send(id, home.worker, false);
+            let mut primaries = placement.candidates.iter().take(PRIMARY_WORKERS);
+            if let Some(primary) = primaries.find(|c| c.has_no_recent_failure && c.has_capacity) {
+                return self.send(id, primary.worker, false);
             }
-            // Not beyond the first: orders that end full must not walk through all workers.
-            let first = placement
-                .candidates
-                .iter()
-                .take(placement.wanted_instances + HOMES);
-            let workers = &self.cluster.workers;
-            let homes = first.filter(|c| self.may_load(&workers[&c.worker], function));
-            let Some(home) = load_home(homes) else {
+            let Some(worker) = self.load_order_target(placement) else {
                 return self.schedule(RETRY_DELAY, Timer::Placement(id));
             };
-            self.order_load(home, function);
+            self.order_load(worker, function);
         }
         let request = self.cluster.requests.entry(id);
         request.and_modify(|request| request.awaits_load = true);
-        self.schedule(LOAD_PATIENCE, Timer::Placement(id));
+        self.schedule(LOAD_ORDER_PATIENCE, Timer::Placement(id));
+    }
+
+    /// The worker that is ordered to load a function which is loaded nowhere.
+    fn load_order_target(&self, placement: &Placement) -> Option<WorkerId> {
+        // Not beyond the first: orders that end for lack of memory must not walk through all workers.
+        let workers = placement.wanted_instances + PRIMARY_WORKERS;
+        let first = placement.candidates.iter().take(workers);
+        let may_load = |c: &&Candidate| {
+            let worker = &self.cluster.workers[&c.worker];
+            self.may_load(worker, placement.function)
+        };
+        less_loaded_primary(first.filter(may_load))
     }
 
     fn send(&mut self, id: RequestId, worker: WorkerId, expected_warm: bool) {
@@ -144,10 +155,10 @@
     }
 }
 
-/// The place for a load: the first home, unless it is clearly more loaded than the second.
-fn load_home<'a>(homes: impl Iterator<Item = &'a Candidate>) -> Option<WorkerId> {
-    let homes: Vec<&Candidate> = homes.take(HOMES).collect();
-    let first = homes.first()?;
-    let is_better = |second: &&&Candidate| second.load + SECOND_HOME_MARGIN < first.load;
-    Some(homes.get(1).filter(is_better).unwrap_or(first).worker)
+/// The worker for a load: the first primary, unless it is clearly more loaded than the second.
+fn less_loaded_primary<'a>(workers: impl Iterator<Item = &'a Candidate>) -> Option<WorkerId> {
+    let primaries: Vec<&Candidate> = workers.take(PRIMARY_WORKERS).collect();
+    let first = primaries.first()?;
+    let is_better = |second: &&&Candidate| second.load + SECOND_PRIMARY_MARGIN < first.load;
+    Some(primaries.get(1).filter(is_better).unwrap_or(first).worker)
 }
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,36 +1,44 @@
-//! Popularity of functions: the gold, silver and bronze tiers, and the instances that requests ask for.
+//! Popularity of functions: the gold, silver and bronze tiers, and how many instances are wanted.
+//!
+//! Tiers follow the paper. Gold functions are loaded on all workers; silver ones on as many as their requests
+//! need. Bronze ones are the rarest; their requests go to the first worker in hash order.
 
 use super::Policy;
 use crate::cluster::Function;
 use crate::collections::take_fitting;
 use crate::model::{FunctionId, Span};
 
-/// Buckets of the popularity window, of ten seconds together (design page).
+/// Buckets of the popularity window.
 const BUCKETS: usize = 5;
 /// Least length of a bucket.
 const BUCKET_LENGTH: Span = Span::from_millis(2000);
 /// Least requests in a bucket.
 const MIN_BUCKET_REQUESTS: u32 = 20;
-/// Part of one worker's memory that gold functions may fill (alpha, design page).
-const GOLD_MEMORY: f64 = 0.05;
+/// Fraction of one worker's memory that gold functions may fill.
+const GOLD_MEMORY_FRACTION: f64 = 0.05;
 /// Rankings in a row on the other side before a function enters or leaves gold.
 const GOLD_HYSTERESIS: u8 = 2;
-/// Time after its promotion from which gold is taken to be loaded on all workers.
-const GOLD_SPREAD_TIME: Span = Span::from_millis(6000);
-/// Requests in the window below which a function is bronze (design page); so many may be chance.
+/// Time after its promotion from which a gold function is taken to be loaded on all workers.
+const GOLD_REPLICATION_TIME: Span = Span::from_millis(6000);
+/// Requests in the window from which a function is silver; with fewer it is bronze.
 const SILVER_REQUESTS: u32 = 2;
-/// Places wanted for each concurrent request, for bursts, while all workers have room.
+/// Requests in the window that are taken for chance where a function's concurrency is estimated.
+const CHANCE_REQUESTS: u32 = 2;
+/// Concurrent requests that instances are wanted for, for each that is estimated, while no worker is at
+/// capacity: the surplus is for bursts.
 const IDLE_BURST_FACTOR: f64 = 3.0;
-/// The same while no worker has room: more instances would only push others out.
-const FULL_BURST_FACTOR: f64 = 0.7;
-/// Own requests in a keep-alive for each wanted instance, below which they do not show where instances are.
-const MIN_OWN_REQUESTS: f64 = 2.0;
+/// The same while all workers are at capacity: more instances would only evict others.
+const SATURATED_BURST_FACTOR: f64 = 0.7;
+/// Own requests in a keep-alive time, for each wanted instance, below which they do not show where instances
+/// are.
+const MIN_SAMPLES_PER_INSTANCE: f64 = 2.0;
 
-/// What a function's requests ask for, over all schedulers.
+/// The instances of a function that the requests of all schedulers need.
 pub(super) struct Demand {
+    /// Instances wanted, at least one.
     pub(super) instances: usize,
     /// This scheduler's own requests are too few to show where instances are.
-    pub(super) undersampled: bool,
+    pub(super) is_sparsely_sampled: bool,
 }
 
 impl Policy {
@@ -53,17 +61,17 @@
         self.cluster.prune(self.now, self.settings.loading.keep_alive);
     }
 
-    /// The most requested functions that fit the gold part of the smallest worker's memory.
+    /// The most requested functions that fit the gold fraction of the smallest worker's memory together.
     fn top_functions(&self) -> Vec<FunctionId> {
         let ranked = self.cluster.most_requested(SILVER_REQUESTS);
         let memory = self.settings.loading.worker_memory_mb.iter().copied();
-        let room = memory.fold(f64::INFINITY, f64::min) * GOLD_MEMORY;
-        take_fitting(ranked, room, |id| self.cluster.functions[id].memory_mb)
+        let gold_memory = memory.fold(f64::INFINITY, f64::min) * GOLD_MEMORY_FRACTION;
+        take_fitting(ranked, gold_memory, |id| self.cluster.functions[id].memory_mb)
     }
 
     /// Whether a function has been gold for long enough to be loaded on all workers.
-    pub(super) fn is_everywhere(&self, function: &Function) -> bool {
-        function.gold.is_on() && self.now - function.gold_changed_at > GOLD_SPREAD_TIME
+    pub(super) fn is_replicated_to_all(&self, function: &Function) -> bool {
+        function.gold.is_on() && self.now - function.gold_changed_at > GOLD_REPLICATION_TIME
     }
 
     /// Whether a function is rare, neither gold nor silver, by this scheduler's requests.
@@ -72,20 +80,23 @@
         function.is_none_or(|f| !f.gold.is_on() && f.requests.total() < SILVER_REQUESTS)
     }
 
+    /// Estimates the instances that a function's requests need: by Little's law, the requests of all
+    /// schedulers that run at a time are their rate times their usual latency.
     pub(super) fn demand(&self, function: &Function, class: usize) -> Demand {
         let requests = function.requests.total();
         let window = self.cluster.popularity_window.window_length(self.now);
         let window = window.max(BUCKET_LENGTH).as_secs_f64();
         let schedulers = f64::from(self.settings.fleet_size.max(1));
-        let steady = f64::from(requests.saturating_sub(SILVER_REQUESTS));
-        let concurrent = steady / window * schedulers * self.cluster.baseline_latency[class].value();
-        let burst_factor = IDLE_BURST_FACTOR + (FULL_BURST_FACTOR - IDLE_BURST_FACTOR) * self.full_workers;
+        let steady_requests = f64::from(requests.saturating_sub(CHANCE_REQUESTS));
+        let concurrent = steady_requests / window * schedulers * self.cluster.baseline_latency[class].value();
+        let burst_factor =
+            IDLE_BURST_FACTOR + (SATURATED_BURST_FACTOR - IDLE_BURST_FACTOR) * self.fraction_at_capacity;
         let wanted = concurrent * burst_factor / f64::from(function.concurrency);
         let wanted = wanted.ceil().max(1.0);
-        let own = f64::from(requests) / window * self.settings.loading.keep_alive.as_secs_f64();
+        let own_requests = f64::from(requests) / window * self.settings.loading.keep_alive.as_secs_f64();
         Demand {
             instances: wanted as usize,
-            undersampled: own < wanted * MIN_OWN_REQUESTS,
+            is_sparsely_sampled: own_requests < wanted * MIN_SAMPLES_PER_INSTANCE,
         }
     }
 }
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -1,16 +1,17 @@
-//! Load orders: instances loaded ahead of requests, and the pace of all orders.
+//! Load orders: instances loaded ahead of requests, and the limits on all orders.
 
-use super::placement::LOAD_PATIENCE;
+use super::placement::LOAD_ORDER_PATIENCE;
 use super::{BACKOFF, Policy};
 use crate::cluster::Worker;
 use crate::collections::mix64;
 use crate::model::{Action, FunctionId, LoadOutcome, LoadStatus, Span, Time, WorkerId};
 
-/// Part of the keep-alive that is left when an instance is renewed: time to repeat an order that fails.
-const RENEW_MARGIN: f64 = 0.3;
-/// Ordered loads that may be under way on a worker.
+/// Fraction of the keep-alive time that is left when an instance is renewed: time to repeat an order that
+/// fails.
+const RENEWAL_MARGIN: f64 = 0.3;
+/// Load orders that may be under way on a worker.
 const MAX_LOADS: usize = 3;
-/// The same for an order of a bronze function.
+/// The same for a load of a bronze function.
 const MAX_BRONZE_LOADS: usize = 1;
 
 impl Policy {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Whether an instance is to be loaded or renewed, and by this scheduler of all.
+    /// Whether an instance is to be loaded or renewed, and by this scheduler of the fleet.
     fn needs_prewarm(&self, worker: WorkerId, function: FunctionId) -> bool {
         let schedulers = u64::from(self.settings.fleet_size.max(1));
         let owner = mix64(function.0.rotate_left(32) ^ worker.0) % schedulers;
@@ -34,17 +35,18 @@
         }
         let worker = &self.cluster.workers[&worker];
         let instance = worker.instance(function);
-        let margin = self.settings.loading.keep_alive.mul_f64(RENEW_MARGIN);
-        // The first order costs a load: one at a time for a worker and for a function floods nothing.
+        let margin = self.settings.loading.keep_alive.mul_f64(RENEWAL_MARGIN);
+        // The first order costs a load: one at a time for a worker and for a function overloads none.
         let is_only_load = || worker.ordered_loads(self.now) == 0 && self.pending_loads(function) == 0;
         !instance.is_loaded(self.now + margin)
             && !worker.health.ejection.is_active(self.now)
             && (instance.is_loaded(self.now) || is_only_load())
     }
 
-    /// Load orders of a function that may still be answered.
+    /// Load orders of a function that a request still waits for.
     pub(super) fn pending_loads(&self, function: FunctionId) -> usize {
-        self.cluster.pending_loads(function, self.now, LOAD_PATIENCE)
+        self.cluster
+            .pending_loads(function, self.now, LOAD_ORDER_PATIENCE)
     }
 
     /// Whether a load may be ordered: the worker is ready and has a slot, and the rate limit allows it.
@@ -68,9 +70,10 @@
         })
     }
 
+    /// Orders a load, if it may be ordered.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId) {
-        let known = self.cluster.workers.get(&worker);
-        if known.is_some_and(|known| self.may_load(known, function)) {
+        let listed = self.cluster.workers.get(&worker);
+        if listed.is_some_and(|listed| self.may_load(listed, function)) {
             self.cluster.begin_load(worker, function, self.now);
             self.actions.push(Action::load_one(worker, function));
         }
@@ -103,7 +106,7 @@
         match load.status {
             LoadStatus::Ok => instance.confirm(now + keep_alive),
             LoadStatus::ConnectFailed => self.eject(now),
-            // Its connection broke, or it was never sent: that says nothing of the load.
+            // Its connection broke, or it was never sent: that says nothing of the instance.
             LoadStatus::Reset | LoadStatus::NotSent => {}
             _ => {
                 instance.fail_load(now, BACKOFF);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,11 +1,11 @@
-//! The life of a request: whether it may be retried, and its final answer.
+//! Requests from their receipt to their final response: whether they may be retried, and how they end.
 
 use super::placement::RETRY_DELAY;
 use super::{Policy, Timer};
 use crate::cluster::{Attempt, Request, Worker};
 use crate::model::{Action, AttemptOutcome, AttemptStatus, IncomingRequest, RequestId, Span, WorkerId};
 
-/// A keyed retry must arrive this long before the deduplication window ends.
+/// How long before the deduplication window ends a retry with an idempotency key must arrive.
 const DEDUPLICATION_MARGIN: Span = Span::from_millis(100);
 /// How long a client whose request is rejected is advised to wait before it retries.
 const RETRY_AFTER: Span = Span::from_millis(250);
@@ -22,8 +22,8 @@
         self.cluster.add_request(&incoming, objective, self.now);
         let last_tick = self.now + incoming.remaining - self.settings.tick;
         self.timers.schedule(last_tick, Timer::Deadline(id));
-        if self.sheds(class) {
-            self.give_up(id);
+        if self.should_shed(class) {
+            self.reject_or_fail(id);
         } else {
             self.place(id);
         }
@@ -39,7 +39,7 @@
         let id = outcome.id;
         let attempt = self.cluster.end_attempt(id, outcome.attempt);
         let Some(attempt) = attempt else { return };
-        self.learn(&outcome, &attempt);
+        self.record_outcome(&outcome, &attempt);
         if outcome.request_finished {
             self.cluster.requests.remove(&id);
         }
@@ -54,24 +54,30 @@
             request.failed_workers.push(attempt.endpoint.worker);
         }
         let first_run = request.first_run();
-        // What this process lacks for a moment is not there at once either.
-        let is_short_of_resources = request.unsent_in_row() > 1;
+        // What this process has run out of for a moment is not there at once either.
+        let is_out_of_resources = request.unsent_in_row() > 1;
         let is_over = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
-        // Where all schedulers' requests ask for an instance, it is loaded at once, while others are tried.
-        let function = self.cluster.functions.get(&attempt.function);
-        let is_wanted = function.is_some_and(|f| self.demand(f, attempt.class).undersampled);
-        if outcome.status == AttemptStatus::Miss && is_wanted {
-            self.order_load(attempt.endpoint.worker, attempt.function);
+        if outcome.status == AttemptStatus::Miss {
+            self.load_missing_instance(&attempt);
         }
         if is_over || !self.may_retry(attempt.class, first_run) {
-            self.give_up(id);
-        } else if is_short_of_resources {
+            self.reject_or_fail(id);
+        } else if is_out_of_resources {
             self.schedule(RETRY_DELAY, Timer::Placement(id));
         } else {
             self.place(id);
         }
     }
 
+    /// Orders the load of an instance that was missed, while the request tries other workers: this
+    /// scheduler's own requests are too few to show where instances are, but those of all schedulers need it.
+    fn load_missing_instance(&mut self, attempt: &Attempt) {
+        let function = self.cluster.functions.get(&attempt.function);
+        if function.is_some_and(|f| self.demand(f, attempt.class).is_sparsely_sampled) {
+            self.order_load(attempt.endpoint.worker, attempt.function);
+        }
+    }
+
     /// Whether the class allows another attempt after one that may have run.
     pub(super) fn may_retry(&self, class: usize, first_run: Option<Attempt>) -> bool {
         let idempotency = self.settings.classes[class].idempotency;
@@ -98,7 +104,7 @@
         }
     }
 
-    /// Cancels an attempt that nobody waits for, so that it takes no place that others want.
+    /// Cancels an attempt that nobody waits for, so that it takes no capacity from others.
     fn cancel_in_flight(&mut self, id: RequestId, request: &Request) {
         let may_cancel = self.settings.permissions.may_cancel;
         if let Some(attempt) = request.in_flight().filter(|_| may_cancel) {
@@ -106,8 +112,8 @@
         }
     }
 
-    /// Ends a request unserved: rejected where another try of the client is harmless, else failed.
-    pub(super) fn give_up(&mut self, id: RequestId) {
+    /// Ends a request unserved: rejected where a retry by the client is harmless, else failed.
+    pub(super) fn reject_or_fail(&mut self, id: RequestId) {
         let request = self.cluster.requests.remove(&id);
         let Some(request) = request else { return };
         self.cancel_in_flight(id, &request);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,14 +1,15 @@
-//! Slow start: the share of work that a worker which is still warming up may be sent.
+//! Slow start: how much work a worker that is still warming up may be sent.
 
 use super::{Policy, WORK_TIME_CONSTANT};
 use crate::cluster::Worker;
 use crate::collections::mix64;
 use crate::model::{RequestId, Span};
 
-/// Part of the budget that is used.
-const BUDGET_USED: f64 = 0.7;
-/// Part of the bearable multiple of usual traffic that is admitted by chance.
-const CHANCE_FACTOR: f64 = 0.25;
+/// Fraction of its budget that a worker is sent.
+const BUDGET_FRACTION: f64 = 0.7;
+/// Probability of a draw to admit a request beyond the budget, for each multiple of a warm worker's usual
+/// traffic that the worker can take.
+const ADMISSION_PROBABILITY: f64 = 0.25;
 
 impl Policy {
     /// How long ago a worker that is still warming up has started.
@@ -17,24 +18,25 @@
         Some(age).filter(|age| *age < self.settings.safety_limits.warm_up_duration)
     }
 
-    /// Whether a request is within this scheduler's share of what a worker bears.
+    /// Whether a request is within this scheduler's fraction of what a worker can take.
     pub(super) fn slow_start_admits(&self, id: RequestId, class: usize, worker: &Worker) -> bool {
         let Some(age) = self.warm_up_age(worker) else {
             return true;
         };
         let limits = &self.settings.safety_limits;
-        let bearable = limits.overload_multiple * limits.capacity_at(age);
+        let tolerable = limits.overload_multiple * limits.capacity_at(age);
         let work_rate = self.cluster.completed_work.value() / WORK_TIME_CONSTANT.as_secs_f64();
         let worker_rate = work_rate / self.cluster.workers.len().max(1) as f64;
-        let budget = bearable * worker_rate * limits.overload_window.as_secs_f64() * BUDGET_USED;
+        let budget = tolerable * worker_rate * limits.overload_window.as_secs_f64() * BUDGET_FRACTION;
         let history = self.cluster.send_history.get(&worker.endpoint.worker);
         let spent = history.map_or(0.0, |h| h.weight_since(self.now - limits.overload_window));
         let work = self.cluster.baseline_latency[class].value();
-        // One request may be more than the share of one scheduler of many: each draws once for a worker, and
-        // the part admitted follows its capacity; less under saturation, when more than usual comes.
+        // One request may be more than the budget of one scheduler of many: each draws once for a worker, and
+        // the fraction admitted follows its capacity; less under saturation, when more than the usual traffic
+        // comes.
         let request = u64::from(id.0) << 32 | u64::from(self.settings.index);
         let drawn = mix64(worker.endpoint.worker.0 ^ mix64(request)) as f64 / (u64::MAX as f64);
-        let is_drawn = drawn < bearable * CHANCE_FACTOR * (1.0 - self.saturation.value());
+        let is_drawn = drawn < tolerable * ADMISSION_PROBABILITY * (1.0 - self.saturation.value());
         spent + work <= budget || budget < work && spent == 0.0 && is_drawn
     }
 }
