--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,16 +1,16 @@
-//! The mapped file that says which faults to inject.
+//! The control file, mapped: which faults to inject now.
 
-use fault_control::{CONTROL_VARIABLE, SEED_SLOT, SLOT_BYTES, SLOTS, SystemCall};
+use fault_control::{CONTROL_VARIABLE, FILE_BYTES, SLOTS, Slot, SystemCall};
 use libc::c_int;
 use std::ffi::CString;
 use std::os::unix::ffi::OsStrExt;
 use std::sync::atomic::{AtomicI64, Ordering};
-use std::sync::{Mutex, OnceLock};
+use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// What rates are counted in.
-const PER_MILLE: usize = 1000;
+/// Rates are given per mille.
+const RATE_DENOMINATOR: usize = 1000;
 
-/// The mapped file.
+/// The mapped control file, with the generator of the shim's random choices.
 pub(crate) struct Control {
     slots: &'static [AtomicI64; SLOTS],
     random: Mutex<fastrand::Rng>,
@@ -23,36 +23,32 @@
     CONTROL.get_or_init(map).as_ref()
 }
 
-/// The error that this call is to fail with, if it is to fail.
-pub(crate) fn fails(call: SystemCall) -> Option<c_int> {
-    let control = control()?;
-    let error = control.read(call.error_slot());
-    (error != 0 && control.happens(call.rate_slot())).then_some(error as c_int)
-}
-
 impl Control {
     /// The number in a slot.
-    pub(crate) fn read(&self, slot: usize) -> i64 {
-        self.slots[slot].load(Ordering::Relaxed)
+    pub(crate) fn read(&self, slot: Slot) -> i64 {
+        self.slots[slot.index()].load(Ordering::Relaxed)
     }
 
-    /// Draws whether something happens whose rate stands in a slot.
-    pub(crate) fn happens(&self, rate_slot: usize) -> bool {
-        let rate = self.read(rate_slot);
-        rate > 0 && (self.random_below(PER_MILLE) as i64) < rate
+    /// The error that this call has to fail with, if it has to fail.
+    pub(crate) fn injected_error(&self, call: SystemCall) -> Option<c_int> {
+        let error = self.read(Slot::error_of(call));
+        (error != 0 && self.draw(Slot::failure_rate_of(call))).then_some(error as c_int)
+    }
+
+    /// Draws whether an event happens whose rate is in a slot.
+    pub(crate) fn draw(&self, rate: Slot) -> bool {
+        let rate = self.read(rate);
+        rate > 0 && (self.random_below(RATE_DENOMINATOR) as i64) < rate
     }
 
     /// A random number below a bound.
     pub(crate) fn random_below(&self, bound: usize) -> usize {
-        let mut random = self
-            .random
-            .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         random.usize(..bound)
     }
 }
 
-/// Maps the file by system calls alone, for the functions of the C library lead back here.
+/// Maps the file with raw system calls, because the C library's functions lead back to this library.
 fn map() -> Option<Control> {
     let path = std::env::var_os(CONTROL_VARIABLE)?;
     let path = CString::new(path.as_bytes()).ok()?;
@@ -68,15 +64,21 @@
         if file < 0 {
             return None;
         }
-        let length = SLOTS * SLOT_BYTES;
-        let none = std::ptr::null_mut();
-        let address = libc::mmap(none, length, libc::PROT_READ, libc::MAP_SHARED, file as c_int, 0);
+        let any_address = std::ptr::null_mut();
+        let address = libc::mmap(
+            any_address,
+            FILE_BYTES,
+            libc::PROT_READ,
+            libc::MAP_SHARED,
+            file as c_int,
+            0,
+        );
         libc::syscall(libc::SYS_close, file);
         if address == libc::MAP_FAILED {
             return None;
         }
         let slots = &*address.cast::<[AtomicI64; SLOTS]>();
-        let seed = slots[SEED_SLOT].load(Ordering::Relaxed) as u64;
+        let seed = slots[Slot::RANDOM_SEED.index()].load(Ordering::Relaxed) as u64;
         Some(Control {
             slots,
             random: Mutex::new(fastrand::Rng::with_seed(seed)),
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,57 +1,24 @@
-//! A library that a process preloads (LD_PRELOAD) so that the soak can inject faults of the operating system into it:
-//! a wall clock that is stepped, system calls that fail in documented ways, reads and writes that are cut short.
+//! A library that a process preloads (LD_PRELOAD) so that `fault-soak` can inject faults of the operating system: wall
+//! clock steps, system calls that fail in documented ways, short reads and writes.
 //!
-//! What to inject stands in a file that [`fault_control`] describes and that the process maps. Without that file every
-//! call passes unchanged. Each function here stands in for the C library's of the same name and makes the system call
-//! itself, so that it needs no look-up of the original.
+//! The process maps a file, described by [`fault_control`], that says what to inject. Without that file every call
+//! passes unchanged. Each function here interposes the C library's function of the same name and makes the system call
+//! itself, so that it needs no lookup of the original.
 
 mod control;
+mod injection;
 
-use control::{control, fails};
-use fault_control::{SHORT_IO_SLOT, SystemCall, WALL_CLOCK_SLOT};
+use control::control;
+use fault_control::{Slot, SystemCall};
+use injection::{fail_or_call, fail_or_call_on_tcp, transfer_length};
 use libc::{
-    c_int, c_long, c_void, clockid_t, epoll_event, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec,
+    c_char, c_int, c_void, clockid_t, epoll_event, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec,
 };
+use std::ptr::null;
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Sets the calling thread's error number and gives the result of a call that failed.
-fn failure(error: c_int) -> c_long {
-    // SAFETY: the C library gives each thread a valid place for its error number.
-    unsafe { *libc::__errno_location() = error };
-    -1
-}
-
-/// Whether a descriptor is a TCP socket over IPv4, as opposed to a pipe between parts of the process.
-fn is_tcp(descriptor: c_int) -> bool {
-    let mut domain: c_int = 0;
-    let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: both pointers are to local variables of the sizes that the call expects.
-    let result = unsafe {
-        libc::getsockopt(
-            descriptor,
-            libc::SOL_SOCKET,
-            libc::SO_DOMAIN,
-            (&raw mut domain).cast(),
-            &raw mut length,
-        )
-    };
-    result == 0 && domain == libc::AF_INET
-}
-
-/// The number of bytes to ask for, where so many are wanted on this descriptor.
-fn shortened(descriptor: c_int, length: size_t) -> size_t {
-    let Some(control) = control() else {
-        return length;
-    };
-    if length > 1 && control.happens(SHORT_IO_SLOT) && is_tcp(descriptor) {
-        1 + control.random_below(length - 1)
-    } else {
-        length
-    }
-}
-
-/// Stands in for the C library's function: the wall clock is off by what the control file says.
+/// Interposes the C library's function: the wall clock is off by the injected offset.
 ///
 /// # Safety
 ///
@@ -63,7 +30,7 @@
     if result != 0 || clock != libc::CLOCK_REALTIME {
         return result;
     }
-    let offset = control().map_or(0, |control| control.read(WALL_CLOCK_SLOT));
+    let offset = control().map_or(0, |control| control.read(Slot::WALL_CLOCK_OFFSET));
     // SAFETY: the call has succeeded, so that the pointer is valid.
     let time = unsafe { &mut *time };
     let nanoseconds = time.tv_sec * NANOSECONDS_PER_SECOND + time.tv_nsec + offset;
@@ -72,7 +39,7 @@
     0
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function.
 ///
 /// # Safety
 ///
@@ -84,38 +51,35 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = fails(SystemCall::Accept) {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the caller's pointers are passed on.
-    unsafe { libc::syscall(libc::SYS_accept4, descriptor, address, length, flags) as c_int }
+    fail_or_call(SystemCall::Accept, || {
+        // SAFETY: the caller's pointers are passed on.
+        unsafe { libc::syscall(libc::SYS_accept4, descriptor, address, length, flags) }
+    }) as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function.
 ///
 /// # Safety
 ///
 /// As the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if let Some(error) = fails(SystemCall::Connect) {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the caller's pointer is passed on.
-    unsafe { libc::syscall(libc::SYS_connect, descriptor, address, length) as c_int }
+    fail_or_call(SystemCall::Connect, || {
+        // SAFETY: the caller's pointer is passed on.
+        unsafe { libc::syscall(libc::SYS_connect, descriptor, address, length) }
+    }) as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function.
 #[unsafe(no_mangle)]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    if let Some(error) = fails(SystemCall::Socket) {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the call takes no pointer.
-    unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int }
+    fail_or_call(SystemCall::Socket, || {
+        // SAFETY: the call takes no pointer.
+        unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) }
+    }) as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function: adding or changing a registration may fail, removing one does not.
 ///
 /// # Safety
 ///
@@ -127,16 +91,19 @@
     descriptor: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    if operation != libc::EPOLL_CTL_DEL
-        && let Some(error) = fails(SystemCall::EpollControl)
-    {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the caller's pointer is passed on.
-    unsafe { libc::syscall(libc::SYS_epoll_ctl, epoll, operation, descriptor, event) as c_int }
+    let make_call = || {
+        // SAFETY: the caller's pointer is passed on.
+        unsafe { libc::syscall(libc::SYS_epoll_ctl, epoll, operation, descriptor, event) }
+    };
+    let result = if operation == libc::EPOLL_CTL_DEL {
+        make_call()
+    } else {
+        fail_or_call(SystemCall::EpollControl, make_call)
+    };
+    result as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function.
 ///
 /// # Safety
 ///
@@ -148,14 +115,13 @@
     capacity: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(error) = fails(SystemCall::EpollWait) {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the caller's pointer is passed on.
-    unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, capacity, timeout) as c_int }
+    fail_or_call(SystemCall::EpollWait, || {
+        // SAFETY: the caller's pointer is passed on.
+        unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, capacity, timeout) }
+    }) as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function: on TCP sockets it may fail or read less than asked.
 ///
 /// # Safety
 ///
@@ -167,18 +133,26 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(error) = fails(SystemCall::Receive)
-        && is_tcp(descriptor)
-    {
-        return failure(error) as ssize_t;
-    }
-    let length = shortened(descriptor, length);
-    let none = std::ptr::null::<c_void>();
-    // SAFETY: the caller's buffer is passed on, with its length or less.
-    unsafe { libc::syscall(libc::SYS_recvfrom, descriptor, buffer, length, flags, none, none) as ssize_t }
+    fail_or_call_on_tcp(SystemCall::Receive, descriptor, || {
+        let length = transfer_length(descriptor, length);
+        let address = null::<c_void>();
+        let address_length = null::<c_void>();
+        // SAFETY: the caller's buffer is passed on, with its length or less.
+        unsafe {
+            libc::syscall(
+                libc::SYS_recvfrom,
+                descriptor,
+                buffer,
+                length,
+                flags,
+                address,
+                address_length,
+            )
+        }
+    }) as ssize_t
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function: on TCP sockets it may fail or write less than asked.
 ///
 /// # Safety
 ///
@@ -190,43 +164,42 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(error) = fails(SystemCall::Send)
-        && is_tcp(descriptor)
-    {
-        return failure(error) as ssize_t;
-    }
-    let length = shortened(descriptor, length);
-    let none = std::ptr::null::<c_void>();
-    // SAFETY: the caller's buffer is passed on, with its length or less.
-    unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, none, 0) as ssize_t }
+    fail_or_call_on_tcp(SystemCall::Send, descriptor, || {
+        let length = transfer_length(descriptor, length);
+        let address = null::<c_void>();
+        // SAFETY: the caller's buffer is passed on, with its length or less.
+        unsafe { libc::syscall(libc::SYS_sendto, descriptor, buffer, length, flags, address, 0) }
+    }) as ssize_t
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function.
 ///
 /// # Safety
 ///
 /// As the C library's.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn open64(path: *const libc::c_char, flags: c_int, mode: mode_t) -> c_int {
-    if let Some(error) = fails(SystemCall::Open) {
-        return failure(error) as c_int;
-    }
-    // SAFETY: the caller's pointer is passed on.
-    unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) as c_int }
+pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
+    fail_or_call(SystemCall::Open, || {
+        // SAFETY: the caller's pointer is passed on.
+        unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode) }
+    }) as c_int
 }
 
-/// Stands in for the C library's function.
+/// Interposes the C library's function: writing to standard error, where the log goes, may fail.
 ///
 /// # Safety
 ///
 /// As the C library's.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if descriptor == libc::STDERR_FILENO
-        && let Some(error) = fails(SystemCall::LogWrite)
-    {
-        return failure(error) as ssize_t;
-    }
-    // SAFETY: the caller's buffer is passed on.
-    unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length) as ssize_t }
+    let make_call = || {
+        // SAFETY: the caller's buffer is passed on.
+        unsafe { libc::syscall(libc::SYS_write, descriptor, buffer, length) }
+    };
+    let result = if descriptor == libc::STDERR_FILENO {
+        fail_or_call(SystemCall::LogWrite, make_call)
+    } else {
+        make_call()
+    };
+    result as ssize_t
 }
--- a/crates/fault-soak/src/faults.rs
+++ b/crates/fault-soak/src/faults.rs
@@ -6,7 +6,7 @@
 use crate::schedule::{FaultKind, PlannedFault};
 use crate::scheduler::Scheduler;
 use crate::switches::Switch;
-use fault_control::{SHORT_IO_SLOT, WALL_CLOCK_SLOT};
+use fault_control::Slot;
 use nix::sys::signal::Signal;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -42,15 +42,15 @@
         FaultKind::Pause => pause(scheduler, fault).await,
         FaultKind::ClockStep => {
             let seconds = CLOCK_STEPS_S[fault.variant as usize % CLOCK_STEPS_S.len()];
-            let _ = scheduler.set_control(WALL_CLOCK_SLOT, seconds * NANOSECONDS_PER_SECOND);
+            let _ = scheduler.set_control(Slot::WALL_CLOCK_OFFSET, seconds * NANOSECONDS_PER_SECOND);
             sleep(fault.lasts).await;
-            let _ = scheduler.set_control(WALL_CLOCK_SLOT, 0);
+            let _ = scheduler.set_control(Slot::WALL_CLOCK_OFFSET, 0);
         }
         FaultKind::SystemCall => fail_system_call(scheduler, fault).await,
         FaultKind::ShortIo => {
-            let _ = scheduler.set_control(SHORT_IO_SLOT, SHORT_IO_PER_MILLE);
+            let _ = scheduler.set_control(Slot::SHORT_IO_RATE, SHORT_IO_PER_MILLE);
             sleep(fault.lasts).await;
-            let _ = scheduler.set_control(SHORT_IO_SLOT, 0);
+            let _ = scheduler.set_control(Slot::SHORT_IO_RATE, 0);
         }
         FaultKind::LogStall => hold(world, &scheduler.log_stalls, fault).await,
         FaultKind::WorkerStall => hold(world, &worker.stalls, fault).await,
@@ -139,10 +139,10 @@
 
 async fn fail_system_call(scheduler: &Scheduler, fault: &PlannedFault) {
     let (call, error, per_mille) = fault.failing_call();
-    let _ = scheduler.set_control(call.rate_slot(), per_mille);
-    let _ = scheduler.set_control(call.error_slot(), i64::from(error));
+    let _ = scheduler.set_control(Slot::failure_rate_of(call), per_mille);
+    let _ = scheduler.set_control(Slot::error_of(call), i64::from(error));
     sleep(fault.lasts).await;
-    let _ = scheduler.set_control(call.error_slot(), 0);
+    let _ = scheduler.set_control(Slot::error_of(call), 0);
 }
 
 /// Drains a worker, lets its process go, and puts another one at its address.
--- a/crates/fault-soak/src/scheduler.rs
+++ b/crates/fault-soak/src/scheduler.rs
@@ -4,7 +4,7 @@
 use crate::switches::Switch;
 use crate::wire::{self, ClientFrame};
 use anyhow::{Context, Result};
-use fault_control::{CONTROL_VARIABLE, SEED_SLOT, SLOT_BYTES, SLOTS};
+use fault_control::{CONTROL_VARIABLE, FILE_BYTES, Slot};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde_json::Value;
@@ -78,7 +78,7 @@
         let folder = tempfile::tempdir()?;
         let options = File::options().read(true).write(true).create_new(true).clone();
         let control = options.open(folder.path().join("control"))?;
-        control.set_len((SLOTS * SLOT_BYTES) as u64)?;
+        control.set_len(FILE_BYTES as u64)?;
         let scheduler = Scheduler {
             index,
             address,
@@ -96,7 +96,7 @@
             programs: programs.clone(),
             recorder: Arc::clone(recorder),
         };
-        scheduler.set_control(SEED_SLOT, (seed as i64).wrapping_add(index as i64))?;
+        scheduler.set_control(Slot::RANDOM_SEED, (seed as i64).wrapping_add(index as i64))?;
         Ok(scheduler)
     }
 
@@ -114,9 +114,10 @@
     }
 
     /// Writes a number for the shim.
-    pub(crate) fn set_control(&self, slot: usize, value: i64) -> Result<()> {
-        let offset = (slot * SLOT_BYTES) as u64;
-        Ok(self.control.write_all_at(&value.to_ne_bytes(), offset)?)
+    pub(crate) fn set_control(&self, slot: Slot, value: i64) -> Result<()> {
+        Ok(self
+            .control
+            .write_all_at(&value.to_ne_bytes(), slot.byte_offset())?)
     }
 
     fn config_path(&self) -> PathBuf {
