--- /dev/null
+++ b/crates/fault-soak/src/coverage.rs
@@ -0,0 +1,93 @@
+//! What was covered over all seeds, and which invariants were violated.
+
+use crate::faults::{FaultKind, PlannedFault};
+use crate::invariants::Invariant;
+use crate::recorder::Event;
+use crate::request::ResponseStatus;
+use crate::run::RunResult;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Totals over the runs.
+#[derive(Debug, Default)]
+pub(crate) struct Coverage {
+    seeds: usize,
+    requests: usize,
+    responses: BTreeMap<ResponseStatus, usize>,
+    faults: BTreeMap<FaultKind, usize>,
+    /// The kinds of two faults, and of three, that were active at the same time.
+    overlapping_pairs: BTreeSet<[FaultKind; 2]>,
+    overlapping_triples: BTreeSet<[FaultKind; 3]>,
+    violations: BTreeMap<Invariant, usize>,
+    violating_seeds: Vec<u64>,
+}
+
+impl Coverage {
+    /// Adds a run.
+    pub(crate) fn add(&mut self, seed: u64, schedule: &[PlannedFault], result: &RunResult) {
+        self.seeds += 1;
+        for record in &result.records {
+            match &record.event {
+                Event::RequestSent { .. } => self.requests += 1,
+                Event::ResponseReceived { status, .. } => *self.responses.entry(*status).or_default() += 1,
+                _ => {}
+            }
+        }
+        for fault in schedule {
+            *self.faults.entry(fault.kind).or_default() += 1;
+        }
+        self.add_overlaps(schedule);
+        for violation in &result.violations {
+            *self.violations.entry(violation.invariant).or_default() += 1;
+        }
+        if !result.violations.is_empty() {
+            self.violating_seeds.push(seed);
+        }
+    }
+
+    fn add_overlaps(&mut self, schedule: &[PlannedFault]) {
+        for (index, first) in schedule.iter().enumerate() {
+            let overlapping: Vec<&PlannedFault> = schedule[index + 1..]
+                .iter()
+                .filter(|other| first.overlaps(other))
+                .collect();
+            for (place, second) in overlapping.iter().enumerate() {
+                let pair = sorted([first.kind, second.kind]);
+                self.overlapping_pairs.insert(pair);
+                let thirds = overlapping[place + 1..].iter();
+                for third in thirds.filter(|third| second.overlaps(third)) {
+                    let triple = sorted([first.kind, second.kind, third.kind]);
+                    self.overlapping_triples.insert(triple);
+                }
+            }
+        }
+    }
+
+    /// Whether any invariant was violated.
+    pub(crate) fn has_violations(&self) -> bool {
+        !self.violations.is_empty()
+    }
+
+    /// Prints the totals.
+    pub(crate) fn print(&self) {
+        println!(
+            "seeds {} requests {} responses {:?}",
+            self.seeds, self.requests, self.responses
+        );
+        println!(
+            "faults {} of {} kinds, {} pairs and {} triples of kinds overlapped in time",
+            self.faults.values().sum::<usize>(),
+            self.faults.len(),
+            self.overlapping_pairs.len(),
+            self.overlapping_triples.len()
+        );
+        println!(
+            "violated invariants {:?}, in seeds {:?}",
+            self.violations, self.violating_seeds
+        );
+    }
+}
+
+fn sorted<const N: usize>(mut kinds: [FaultKind; N]) -> [FaultKind; N] {
+    kinds.sort_unstable();
+    kinds
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/client/mod.rs
@@ -0,0 +1,89 @@
+//! Stand-in clients: they send requests and read the responses, and misbehave as far as their switches say.
+
+mod connection;
+mod connection_state;
+mod response_reader;
+
+use super::scheduler::Scheduler;
+use super::switches::ClientSwitches;
+use crate::recorder::Recorder;
+use crate::request::{ConnectionId, RequestId};
+use connection::ClientConnection;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// Pause before the next connection, if a scheduler accepts none.
+const RECONNECT_DELAY: Duration = Duration::from_millis(30);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How many of a hundred requests have a large body.
+const LARGE_BODIES_PERCENT: u64 = 5;
+const LARGE_BODY_BYTES: usize = 16 << 10;
+
+/// What all clients of a run share.
+#[derive(Debug)]
+pub(crate) struct Clients {
+    pub(crate) switches: ClientSwitches,
+    recorder: Arc<Recorder>,
+    next_request: AtomicU64,
+    next_connection: AtomicU64,
+    is_stopped: AtomicBool,
+}
+
+impl Clients {
+    pub(super) fn new(recorder: &Arc<Recorder>) -> Clients {
+        Clients {
+            switches: ClientSwitches::default(),
+            recorder: Arc::clone(recorder),
+            next_request: AtomicU64::new(1),
+            next_connection: AtomicU64::new(1),
+            is_stopped: AtomicBool::new(false),
+        }
+    }
+
+    /// Has all clients send no further request.
+    pub(super) fn stop(&self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
+    }
+
+    fn is_stopped(&self) -> bool {
+        self.is_stopped.load(Ordering::Relaxed)
+    }
+
+    fn next_request(&self) -> RequestId {
+        RequestId(self.next_request.fetch_add(1, Ordering::Relaxed))
+    }
+
+    fn next_connection(&self) -> ConnectionId {
+        ConnectionId(self.next_connection.fetch_add(1, Ordering::Relaxed))
+    }
+}
+
+/// Sends requests to a scheduler, on one connection after another, until the clients are stopped.
+pub(super) async fn run(clients: Arc<Clients>, scheduler: Arc<Scheduler>) {
+    while !clients.is_stopped() {
+        let Some(incarnation) = scheduler.incarnation_in_rotation() else {
+            sleep(RECONNECT_DELAY).await;
+            continue;
+        };
+        let connect = TcpStream::connect(scheduler.address);
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connect).await else {
+            sleep(RECONNECT_DELAY).await;
+            continue;
+        };
+        ClientConnection::start(&clients, incarnation, stream).run().await;
+    }
+}
+
+/// The body of a request, which no other request has. It depends on the id alone, so that the reader of the response knows
+/// it too.
+fn request_body(request: RequestId) -> Vec<u8> {
+    let mut body = request.0.to_be_bytes().to_vec();
+    let hash = request.0.wrapping_mul(0x9e37_79b9) >> 8;
+    if hash % 100 < LARGE_BODIES_PERCENT {
+        body.resize(LARGE_BODY_BYTES, b'x');
+    }
+    body
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/client/response_reader.rs
@@ -0,0 +1,57 @@
+//! The reading side of a client's connection.
+
+use super::super::frame_codec::{self, ReceivedFrame};
+use super::connection_state::ConnectionState;
+use super::request_body;
+use crate::recorder::Event;
+use crate::request::RequestId;
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::time::sleep;
+
+/// How often the reader looks whether its client has closed the connection.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Reads frames until either side closes the connection.
+pub(super) async fn run(state: Arc<ConnectionState>, mut input: OwnedReadHalf) {
+    // Kept, so that a second response is recognised.
+    let mut answered: HashMap<u32, RequestId> = HashMap::new();
+    loop {
+        let frame = tokio::select! {
+            frame = frame_codec::read_frame(&mut input) => frame,
+            () = wait_until_closed(&state) => return,
+        };
+        match frame {
+            Ok(Some(ReceivedFrame::Response { stream, status, body })) => {
+                let in_flight = state.remove_in_flight(stream);
+                let Some(request) = in_flight.or_else(|| answered.get(&stream).copied()) else {
+                    continue;
+                };
+                answered.insert(stream, request);
+                state.record(Event::ResponseReceived {
+                    request,
+                    status,
+                    body_matches: body == request_body(request),
+                });
+            }
+            Ok(Some(ReceivedFrame::GoAway)) => state.receive_go_away(),
+            Ok(Some(ReceivedFrame::Readiness { .. })) => {}
+            Ok(None) | Err(_) => {
+                let was_closed_before = state.close();
+                if !was_closed_before {
+                    let connection = state.id;
+                    state.record(Event::ConnectionClosed { connection });
+                }
+                return;
+            }
+        }
+    }
+}
+
+async fn wait_until_closed(state: &ConnectionState) {
+    while !state.is_closed() {
+        sleep(POLL_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -0,0 +1,69 @@
+//! One watch of the endpoint list.
+
+use super::{AddressId, Discovery, events};
+use std::io;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// A watch without an event gets a heartbeat this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a watch looks for new events and at the switches.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Shortest pause between two looks, if the scheduler sends something.
+const MIN_PAUSE: Duration = Duration::from_millis(1);
+/// How long the watches at the former address stay open after the switch to the other.
+const FORMER_ADDRESS_LINGER: Duration = Duration::from_millis(1_500);
+
+/// Serves a connection, or closes it at once where the service is down or has moved.
+pub(super) async fn serve(discovery: Arc<Discovery>, address: AddressId, stream: TcpStream) {
+    if !discovery.is_active(address) || discovery.switches.down.is_on() {
+        return;
+    }
+    let watch_count = &discovery.watch_counts[address.scheduler];
+    watch_count.fetch_add(1, Ordering::Relaxed);
+    // The watch ends with an error when its scheduler closes it.
+    let _ = serve_watch(&discovery, address, stream).await;
+    watch_count.fetch_sub(1, Ordering::Relaxed);
+}
+
+/// Sends events and heartbeats until a fault, a switch of the address or the scheduler ends the watch.
+async fn serve_watch(discovery: &Discovery, address: AddressId, mut stream: TcpStream) -> io::Result<()> {
+    let mut last_event = stream.read_u64().await?;
+    let mut time_without_event = Duration::ZERO;
+    let mut time_at_former_address = Duration::ZERO;
+    while !discovery.switches.down.is_on() && time_at_former_address < FORMER_ADDRESS_LINGER {
+        let is_active = discovery.is_active(address);
+        if is_active && !discovery.switches.black_hole.is_on() {
+            for event in discovery.events_after(last_event as usize) {
+                last_event += 1;
+                time_without_event = Duration::ZERO;
+                stream.write_all(&events::event_frame(last_event, &event)).await?;
+            }
+            if time_without_event >= HEARTBEAT_INTERVAL {
+                time_without_event = Duration::ZERO;
+                stream.write_all(&events::heartbeat_frame(last_event)).await?;
+            }
+        }
+        if !is_active {
+            time_at_former_address += POLL_INTERVAL;
+        }
+        time_without_event += POLL_INTERVAL;
+        wait(&mut stream).await?;
+    }
+    Ok(())
+}
+
+/// Waits for the next look. Fails if the scheduler has closed the watch.
+async fn wait(stream: &mut TcpStream) -> io::Result<()> {
+    match timeout(POLL_INTERVAL, stream.read(&mut [0])).await {
+        Ok(Ok(0)) => return Err(io::ErrorKind::UnexpectedEof.into()),
+        Ok(Err(error)) => return Err(error),
+        Ok(Ok(_)) | Err(_) => {}
+    }
+    sleep(MIN_PAUSE).await;
+    Ok(())
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/health.rs
@@ -0,0 +1,44 @@
+//! Checks of the schedulers at rest. What is wrong is recorded as [`ProcessEvent::Unhealthy`].
+
+use super::{Environment, Scheduler};
+use crate::recorder::ProcessEvent;
+use std::sync::Arc;
+
+/// Threads of a scheduler: its event loop and its log.
+const MAX_THREADS: usize = 2;
+/// Descriptors of a scheduler without clients, beside the connections to workers.
+const BASE_DESCRIPTORS: usize = 40;
+/// Connections to one worker at most.
+const CONNECTIONS_PER_WORKER: usize = 16;
+
+impl Environment {
+    /// Checks that schedulers without clients hold few descriptors and threads, and watch the endpoint list.
+    pub(crate) fn check_schedulers_at_rest(&self) {
+        for scheduler in self.running_schedulers() {
+            self.check_resources(scheduler);
+        }
+        for scheduler in self.running_schedulers() {
+            self.check_watch(scheduler);
+        }
+    }
+
+    fn running_schedulers(&self) -> impl Iterator<Item = &Arc<Scheduler>> {
+        self.schedulers.iter().filter(|scheduler| scheduler.is_running())
+    }
+
+    fn check_resources(&self, scheduler: &Scheduler) {
+        let max_descriptors = BASE_DESCRIPTORS + self.workers.len() * CONNECTIONS_PER_WORKER;
+        let (descriptors, threads) = (scheduler.descriptor_count(), scheduler.thread_count());
+        if descriptors > max_descriptors || threads > MAX_THREADS {
+            let reason = format!("{descriptors} descriptors, {threads} threads at rest");
+            scheduler.record(ProcessEvent::Unhealthy { reason });
+        }
+    }
+
+    fn check_watch(&self, scheduler: &Scheduler) {
+        if !self.discovery.is_watched_by(scheduler.index) {
+            let reason = "watches no discovery service".to_owned();
+            scheduler.record(ProcessEvent::Unhealthy { reason });
+        }
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/scheduler/lifecycle.rs
@@ -0,0 +1,151 @@
+//! Start, readiness and end of a scheduler's process.
+
+use super::super::frame_codec::{self, ReceivedFrame};
+use super::Scheduler;
+use super::process::SchedulerProcess;
+use crate::recorder::{Incarnation, ProcessEvent};
+use anyhow::{Context, Result};
+use fault_control::CONTROL_VARIABLE;
+use nix::sys::signal::Signal;
+use std::net::SocketAddr;
+use std::process::Stdio;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpStream;
+use tokio::process::{Child, Command};
+use tokio::time::{sleep, timeout};
+
+/// A process has to be ready within this time (page STANDING has 10 s for nine in ten).
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+const READINESS_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// A terminated process is killed after this time: 3 s, the longest deadline at least, and 0.7 s (page PROTOCOL).
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(3_700);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+impl Scheduler {
+    /// Starts a process, and puts the scheduler into rotation once it is ready.
+    pub(crate) async fn start(self: &Arc<Scheduler>) -> Result<()> {
+        let mut child = self.spawn()?;
+        let incarnation = self.next_incarnation();
+        let process = Arc::new(SchedulerProcess::new(
+            incarnation,
+            child.id().context("the process has no id")?,
+        ));
+        self.set_process(Arc::clone(&process));
+        self.record_of(incarnation, ProcessEvent::Started);
+        if let Some(log) = child.stderr.take() {
+            tokio::spawn(Arc::clone(self).read_log(incarnation, log));
+        }
+        tokio::spawn(Arc::clone(self).wait_for_exit(Arc::clone(&process), child));
+        self.wait_until_ready(&process).await;
+        Ok(())
+    }
+
+    fn spawn(&self) -> Result<Child> {
+        Command::new(&self.launch.program)
+            .env("GW_CONFIG", self.config_path())
+            .env("LD_PRELOAD", &self.launch.shim)
+            .env(CONTROL_VARIABLE, self.control_path())
+            .env("FUNCTION_SCHEDULER_LOG", &self.launch.log_level)
+            .stdin(Stdio::null())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true)
+            .spawn()
+            .with_context(|| format!("{}", self.launch.program.display()))
+    }
+
+    fn next_incarnation(&self) -> Incarnation {
+        let last_generation = self.process().map_or(0, |process| process.incarnation.generation);
+        Incarnation {
+            scheduler: self.index,
+            generation: last_generation + 1,
+        }
+    }
+
+    fn set_process(&self, process: Arc<SchedulerProcess>) {
+        let mut present = self
+            .process
+            .lock()
+            .expect("no task panics while it holds the lock");
+        *present = Some(process);
+    }
+
+    async fn wait_for_exit(self: Arc<Scheduler>, process: Arc<SchedulerProcess>, mut child: Child) {
+        let status = child.wait().await;
+        process.set_exited();
+        let event = ProcessEvent::Exited {
+            success: status.is_ok_and(|status| status.success()),
+            was_requested: process.exit_was_requested(),
+        };
+        self.record_of(process.incarnation, event);
+    }
+
+    async fn wait_until_ready(&self, process: &SchedulerProcess) {
+        let started_at = Instant::now();
+        while started_at.elapsed() < READY_TIMEOUT {
+            if !process.is_running() {
+                return;
+            }
+            if reports_readiness(self.address).await {
+                self.record_of(process.incarnation, ProcessEvent::Ready);
+                process.set_ready();
+                self.set_in_rotation(true);
+                return;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+        let reason = format!("not ready in {READY_TIMEOUT:?}");
+        self.record_of(process.incarnation, ProcessEvent::Unhealthy { reason });
+    }
+
+    /// Sends SIGTERM, and waits for the exit. The scheduler leaves the rotation after `rotation_delay`: a load balancer
+    /// learns of the termination late.
+    pub(crate) async fn terminate(&self, rotation_delay: Duration) {
+        let Some(process) = self.process() else {
+            return;
+        };
+        process.request_exit();
+        self.record_of(process.incarnation, ProcessEvent::Terminated);
+        process.signal(Signal::SIGTERM);
+        let terminated_at = Instant::now();
+        sleep(rotation_delay).await;
+        self.set_in_rotation(false);
+        while process.is_running() {
+            if terminated_at.elapsed() > TERMINATION_TIMEOUT {
+                let reason = format!("still running {:?} after SIGTERM", terminated_at.elapsed());
+                self.record_of(process.incarnation, ProcessEvent::Unhealthy { reason });
+                self.kill().await;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    /// Sends SIGKILL, and waits for the exit.
+    pub(crate) async fn kill(&self) {
+        let Some(process) = self.process() else {
+            return;
+        };
+        process.request_exit();
+        self.set_in_rotation(false);
+        self.record_of(process.incarnation, ProcessEvent::Killed);
+        process.signal(Signal::SIGKILL);
+        while process.is_running() {
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+}
+
+/// Whether a scheduler responds to a readiness check that it is ready.
+async fn reports_readiness(address: SocketAddr) -> bool {
+    let check = async {
+        let mut stream = TcpStream::connect(address).await?;
+        stream.write_all(&frame_codec::encode_readiness_check()).await?;
+        frame_codec::read_frame(&mut stream).await
+    };
+    let response = timeout(READINESS_CHECK_TIMEOUT, check).await;
+    matches!(
+        response,
+        Ok(Ok(Some(ReceivedFrame::Readiness { is_ready: true })))
+    )
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -0,0 +1,54 @@
+//! The reader of a scheduler's log: it keeps the last lines and recognises the reports of violations and panics.
+
+use super::Scheduler;
+use crate::recorder::{Incarnation, ProcessEvent};
+use std::collections::VecDeque;
+use std::sync::{Arc, Mutex, MutexGuard};
+use tokio::io::{AsyncBufReadExt, BufReader};
+use tokio::process::ChildStderr;
+
+/// Lines that are kept.
+const MAX_LINES: usize = 400;
+/// How the log reports that an invariant is violated, or that the code has panicked.
+const VIOLATION_MARKS: [&str; 2] = ["violation kind=", "panic "];
+
+/// The last lines of a log, each with the time at which it was read.
+#[derive(Debug, Default)]
+pub(super) struct LogTail {
+    lines: Mutex<VecDeque<String>>,
+}
+
+impl LogTail {
+    fn push(&self, line: String) {
+        let mut lines = self.lock();
+        if lines.len() >= MAX_LINES {
+            lines.pop_front();
+        }
+        lines.push_back(line);
+    }
+
+    /// The lines, in order.
+    pub(super) fn lines(&self) -> Vec<String> {
+        self.lock().iter().cloned().collect()
+    }
+
+    fn lock(&self) -> MutexGuard<'_, VecDeque<String>> {
+        self.lines.lock().expect("no task panics while it holds the lock")
+    }
+}
+
+impl Scheduler {
+    /// Reads the log of a process to its end.
+    pub(super) async fn read_log(self: Arc<Scheduler>, incarnation: Incarnation, log: ChildStderr) {
+        let mut lines = BufReader::new(log).lines();
+        while let Ok(Some(line)) = lines.next_line().await {
+            self.log_stall.wait_until_off().await;
+            if VIOLATION_MARKS.iter().any(|mark| line.contains(mark)) {
+                let reason = line.clone();
+                self.record_of(incarnation, ProcessEvent::Unhealthy { reason });
+            }
+            let seconds = self.recorder.now().as_secs_f64();
+            self.log_tail.push(format!("{seconds:.3} {line}"));
+        }
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/scheduler/mod.rs
@@ -0,0 +1,170 @@
+//! A scheduler under test: its address, its files, and its present process, which has the shim preloaded.
+
+mod lifecycle;
+mod log_reader;
+mod process;
+
+use super::switches::FaultSwitch;
+use crate::recorder::{Event, Incarnation, ProcessEvent, Recorder};
+use anyhow::Result;
+use fault_control::{FILE_BYTES, Slot};
+use log_reader::LogTail;
+use nix::sys::signal::Signal;
+use process::SchedulerProcess;
+use std::fs::File;
+use std::net::SocketAddr;
+use std::os::unix::fs::FileExt;
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
+use tempfile::TempDir;
+
+/// Files of a scheduler in its folder.
+const CONFIG_FILE: &str = "config.json";
+const CONTROL_FILE: &str = "control";
+
+/// How schedulers are started.
+#[derive(Clone, Debug)]
+pub(crate) struct LaunchOptions {
+    /// The scheduler's program.
+    pub(crate) program: PathBuf,
+    /// The library that it preloads.
+    pub(crate) shim: PathBuf,
+    pub(crate) log_level: String,
+}
+
+/// A scheduler, of which at most one process runs at a time.
+#[derive(Debug)]
+pub(crate) struct Scheduler {
+    pub(crate) index: usize,
+    pub(crate) address: SocketAddr,
+    /// Held by whoever ends the process and starts the next.
+    pub(crate) lifecycle: tokio::sync::Mutex<()>,
+    pub(crate) log_stall: FaultSwitch,
+    /// Whether new clients connect here, as behind a load balancer.
+    is_in_rotation: AtomicBool,
+    /// The present process, or the last; none before the first start.
+    process: Mutex<Option<Arc<SchedulerProcess>>>,
+    folder: TempDir,
+    control_file: File,
+    log_tail: LogTail,
+    launch: LaunchOptions,
+    recorder: Arc<Recorder>,
+}
+
+impl Scheduler {
+    /// A scheduler that has not been started.
+    pub(super) fn new(
+        index: usize,
+        address: SocketAddr,
+        seed: u64,
+        launch: &LaunchOptions,
+        recorder: &Arc<Recorder>,
+    ) -> Result<Scheduler> {
+        let folder = tempfile::tempdir()?;
+        let control_file = File::options()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .open(folder.path().join(CONTROL_FILE))?;
+        control_file.set_len(FILE_BYTES as u64)?;
+        let scheduler = Scheduler {
+            index,
+            address,
+            lifecycle: tokio::sync::Mutex::default(),
+            log_stall: FaultSwitch::default(),
+            is_in_rotation: AtomicBool::new(false),
+            process: Mutex::default(),
+            folder,
+            control_file,
+            log_tail: LogTail::default(),
+            launch: launch.clone(),
+            recorder: Arc::clone(recorder),
+        };
+        let shim_seed = (seed as i64).wrapping_add(index as i64);
+        scheduler.set_control(Slot::RANDOM_SEED, shim_seed)?;
+        Ok(scheduler)
+    }
+
+    /// Writes a number for the shim.
+    pub(crate) fn set_control(&self, slot: Slot, value: i64) -> Result<()> {
+        let bytes = value.to_ne_bytes();
+        Ok(self.control_file.write_all_at(&bytes, slot.byte_offset())?)
+    }
+
+    /// Writes the configuration file.
+    pub(super) fn write_config(&self, text: &str) -> Result<()> {
+        Ok(std::fs::write(self.config_path(), text)?)
+    }
+
+    fn config_path(&self) -> PathBuf {
+        self.folder.path().join(CONFIG_FILE)
+    }
+
+    fn control_path(&self) -> PathBuf {
+        self.folder.path().join(CONTROL_FILE)
+    }
+
+    /// The last lines of its log, of all processes.
+    pub(crate) fn log_tail(&self) -> Vec<String> {
+        self.log_tail.lines()
+    }
+
+    /// The incarnation that new clients connect to, if the scheduler is in rotation.
+    pub(super) fn incarnation_in_rotation(&self) -> Option<Incarnation> {
+        if !self.is_in_rotation.load(Ordering::Relaxed) {
+            return None;
+        }
+        self.process().map(|process| process.incarnation)
+    }
+
+    fn set_in_rotation(&self, is_in_rotation: bool) {
+        self.is_in_rotation.store(is_in_rotation, Ordering::Relaxed);
+    }
+
+    fn process(&self) -> Option<Arc<SchedulerProcess>> {
+        let process = self
+            .process
+            .lock()
+            .expect("no task panics while it holds the lock");
+        process.clone()
+    }
+
+    /// Whether its process runs.
+    pub(super) fn is_running(&self) -> bool {
+        self.process().is_some_and(|process| process.is_running())
+    }
+
+    /// Whether its process runs and has reported readiness.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.process().is_some_and(|process| process.is_ready())
+    }
+
+    /// Sends a signal to its process, if that runs.
+    pub(crate) fn signal(&self, signal: Signal) {
+        if let Some(process) = self.process() {
+            process.signal(signal);
+        }
+    }
+
+    /// The descriptors that its process holds.
+    pub(super) fn descriptor_count(&self) -> usize {
+        self.process().map_or(0, |process| process.count_entries("fd"))
+    }
+
+    /// The threads of its process.
+    pub(super) fn thread_count(&self) -> usize {
+        self.process().map_or(0, |process| process.count_entries("task"))
+    }
+
+    /// Records an event of its present process.
+    pub(super) fn record(&self, event: ProcessEvent) {
+        if let Some(process) = self.process() {
+            self.record_of(process.incarnation, event);
+        }
+    }
+
+    fn record_of(&self, incarnation: Incarnation, event: ProcessEvent) {
+        self.recorder.record(Event::Process { incarnation, event });
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/scheduler/process.rs
@@ -0,0 +1,68 @@
+//! One process of a scheduler.
+
+use crate::recorder::Incarnation;
+use nix::sys::signal::{Signal, kill};
+use nix::unistd::Pid;
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+/// One process of a scheduler, and its state.
+#[derive(Debug)]
+pub(super) struct SchedulerProcess {
+    pub(super) incarnation: Incarnation,
+    pid: Pid,
+    is_ready: AtomicBool,
+    /// It was terminated or killed by this program.
+    exit_was_requested: AtomicBool,
+    has_exited: AtomicBool,
+}
+
+impl SchedulerProcess {
+    pub(super) fn new(incarnation: Incarnation, pid: u32) -> SchedulerProcess {
+        SchedulerProcess {
+            incarnation,
+            pid: Pid::from_raw(pid as i32),
+            is_ready: AtomicBool::new(false),
+            exit_was_requested: AtomicBool::new(false),
+            has_exited: AtomicBool::new(false),
+        }
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        !self.has_exited.load(Ordering::Relaxed)
+    }
+
+    pub(super) fn set_exited(&self) {
+        self.has_exited.store(true, Ordering::Relaxed);
+    }
+
+    /// Whether it runs and has reported readiness.
+    pub(super) fn is_ready(&self) -> bool {
+        self.is_running() && self.is_ready.load(Ordering::Relaxed)
+    }
+
+    pub(super) fn set_ready(&self) {
+        self.is_ready.store(true, Ordering::Relaxed);
+    }
+
+    pub(super) fn exit_was_requested(&self) -> bool {
+        self.exit_was_requested.load(Ordering::Relaxed)
+    }
+
+    pub(super) fn request_exit(&self) {
+        self.exit_was_requested.store(true, Ordering::Relaxed);
+    }
+
+    /// Sends a signal, unless the process has exited and its id may be another's.
+    pub(super) fn signal(&self, signal: Signal) {
+        if self.is_running() {
+            let _ = kill(self.pid, signal);
+        }
+    }
+
+    /// The entries of one of its folders below `/proc`.
+    pub(super) fn count_entries(&self, folder: &str) -> usize {
+        let path = Path::new("/proc").join(self.pid.to_string()).join(folder);
+        std::fs::read_dir(path).map_or(0, Iterator::count)
+    }
+}
--- a/crates/fault-soak/src/settings.rs
+++ b/crates/fault-soak/src/environment/settings.rs
@@ -1,36 +1,36 @@
 //! The configuration of the schedulers of a run.
 
-use crate::recorder::RequestClass;
+use crate::request::RequestClass;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A worker that was told to drain gets nothing new after this time.
+/// A draining worker gets no new work this long after the scheduler was notified.
 pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// For how long workers discard repeats of a keyed request.
+/// How long workers discard duplicates of a request with an idempotency key.
 pub(crate) const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
 /// Attempts of a request at most.
 pub(crate) const MAX_ATTEMPTS: usize = 4;
 
-/// The configuration of one scheduler of several.
-pub(crate) fn configuration(
+/// The configuration of the scheduler with this index; `known_events` is what the endpoint list holds so far.
+pub(super) fn configuration(
     index: usize,
     schedulers: usize,
     listen: SocketAddr,
     discovery: SocketAddr,
-    known: &Value,
+    known_events: &Value,
 ) -> Value {
     json!({
         "name": format!("n{index}"), "listen": listen.to_string(), "seed": format!("{index:x}"),
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-        "bus": discovery.to_string(), "known": known,
+        "bus": discovery.to_string(), "known": known_events,
         "settings": {
             "fleetSize": schedulers, "index": index, "zone": 0, "tickNs": 2_000_000,
             "zones": ["a"], "kinds": ["std"], "discovery": "pushed", "weightSource": "none",
             "classes": [
-                class(RequestClass::Idempotent, "retryable"),
-                class(RequestClass::Keyed, "dedup"),
-                class(RequestClass::NonIdempotent, "fragile"),
+                class_settings(RequestClass::Idempotent, "retryable"),
+                class_settings(RequestClass::IdempotencyKey, "dedup"),
+                class_settings(RequestClass::NonIdempotent, "fragile"),
             ],
             "bounds": {
                 "mostTries": MAX_ATTEMPTS, "mayCancel": true, "retryAfter": true, "maxRetryAfterNs": 500_000_000,
@@ -49,9 +49,9 @@
     })
 }
 
-fn class(class: RequestClass, effect: &str) -> Value {
+fn class_settings(class: RequestClass, effect: &str) -> Value {
     json!({
-        "name": class.name(), "deadlineNs": 2_000_000_000u64, "objectiveNs": 600_000_000, "worth": 1.0,
+        "name": class.service_name(), "deadlineNs": 2_000_000_000u64, "objectiveNs": 600_000_000, "worth": 1.0,
         "lateShare": 0.3, "effect": effect, "group": "all",
         "repeatWindowNs": DEDUPLICATION_WINDOW.as_nanos() as u64,
     })
--- /dev/null
+++ b/crates/fault-soak/src/environment/switches.rs
@@ -0,0 +1,88 @@
+//! The switches by which faults change what the stand-ins do.
+
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How often a waiting task looks at a switch.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A switch that several faults can activate at once: it is on while any of them is active.
+#[derive(Debug, Default)]
+pub(crate) struct FaultSwitch {
+    active_faults: AtomicU64,
+    last_change_ms: AtomicU64,
+}
+
+impl FaultSwitch {
+    /// A fault starts.
+    pub(crate) fn activate(&self, now: Duration) {
+        self.active_faults.fetch_add(1, Ordering::Relaxed);
+        self.last_change_ms
+            .store(now.as_millis() as u64, Ordering::Relaxed);
+    }
+
+    /// A fault ends.
+    pub(crate) fn deactivate(&self, now: Duration) {
+        self.active_faults.fetch_sub(1, Ordering::Relaxed);
+        self.last_change_ms
+            .store(now.as_millis() as u64, Ordering::Relaxed);
+    }
+
+    /// Whether any fault is active.
+    pub(crate) fn is_on(&self) -> bool {
+        self.active_faults.load(Ordering::Relaxed) > 0
+    }
+
+    /// Whether any fault is active or was within the last `span`.
+    pub(crate) fn was_on(&self, now: Duration, span: Duration) -> bool {
+        let last_change = self.last_change_ms.load(Ordering::Relaxed);
+        self.is_on() || last_change > 0 && now.as_millis() as u64 <= last_change + span.as_millis() as u64
+    }
+
+    /// Waits until no fault is active.
+    pub(crate) async fn wait_until_off(&self) {
+        while self.is_on() {
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+}
+
+/// Faults of one worker and of the network to it.
+#[derive(Debug, Default)]
+pub(crate) struct WorkerSwitches {
+    pub(crate) stall: FaultSwitch,
+    pub(crate) error_responses: FaultSwitch,
+    pub(crate) corrupt_responses: FaultSwitch,
+    pub(crate) duplicate_responses: FaultSwitch,
+    pub(crate) delay: FaultSwitch,
+    pub(crate) fragmentation: FaultSwitch,
+    pub(crate) resets: FaultSwitch,
+    pub(crate) black_hole: FaultSwitch,
+    /// Its process has exited, and no other process has taken its address yet.
+    pub(crate) process_is_down: AtomicBool,
+}
+
+impl WorkerSwitches {
+    /// Waits until the worker's process has exited.
+    pub(crate) async fn wait_until_down(&self) {
+        while !self.process_is_down.load(Ordering::Relaxed) {
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+}
+
+/// Faults of the discovery service.
+#[derive(Debug, Default)]
+pub(crate) struct DiscoverySwitches {
+    pub(crate) down: FaultSwitch,
+    pub(crate) black_hole: FaultSwitch,
+}
+
+/// Faults of all clients.
+#[derive(Debug, Default)]
+pub(crate) struct ClientSwitches {
+    pub(crate) abandon_requests: FaultSwitch,
+    pub(crate) malformed_frames: FaultSwitch,
+    pub(crate) ignore_go_away: FaultSwitch,
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/worker/mod.rs
@@ -0,0 +1,162 @@
+//! Stand-in workers: node agents that execute requests, correctly or with the faults that their switches activate.
+
+mod protocol;
+
+use super::listener;
+use super::switches::WorkerSwitches;
+use crate::recorder::{Event, Recorder};
+use protocol::{Command, CorrelationId, RunCommand, Status};
+use serde_json::Value;
+use std::io;
+use std::net::SocketAddr;
+use std::ops::RangeInclusive;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::sync::Mutex;
+use tokio::time::sleep;
+
+/// How long a request executes, in milliseconds.
+const EXECUTION_TIMES_MS: RangeInclusive<u64> = 5..=60;
+/// How long a function takes to load.
+const LOAD_TIME: Duration = Duration::from_millis(30);
+/// How long after a response its duplicate follows.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(5);
+/// How long after its end a fault may still delay what is sent.
+const FAULT_AFTER_EFFECT: Duration = Duration::from_secs(3);
+/// How many of a hundred requests get an error while the worker responds with errors.
+const ERRORS_PERCENT: u8 = 60;
+/// How many of a hundred responses are corrupt or sent twice while the worker does that.
+const BAD_RESPONSES_PERCENT: u8 = 30;
+
+/// A worker, which listens behind its proxy.
+#[derive(Debug)]
+pub(crate) struct Worker {
+    pub(crate) index: usize,
+    pub(crate) switches: WorkerSwitches,
+    recorder: Arc<Recorder>,
+}
+
+/// The output of one connection, which several requests share.
+type Output = Arc<Mutex<OwnedWriteHalf>>;
+
+impl Worker {
+    pub(super) fn new(index: usize, recorder: Arc<Recorder>) -> Worker {
+        Worker {
+            index,
+            switches: WorkerSwitches::default(),
+            recorder,
+        }
+    }
+
+    /// Listens at an address of its own and serves connections until the runtime ends.
+    pub(super) async fn listen(self: &Arc<Worker>) -> io::Result<SocketAddr> {
+        let (listener, address) = listener::bind().await?;
+        let worker = Arc::clone(self);
+        listener::serve(listener, move |stream| Arc::clone(&worker).serve(stream));
+        Ok(address)
+    }
+
+    /// Whether its process has exited and was not replaced yet.
+    pub(super) fn is_down(&self) -> bool {
+        self.switches.process_is_down.load(Ordering::Relaxed)
+    }
+
+    async fn serve(self: Arc<Worker>, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let (input, output) = stream.into_split();
+        let output = Arc::new(Mutex::new(output));
+        let mut lines = BufReader::new(input).lines();
+        while let Ok(Some(line)) = lines.next_line().await {
+            let Ok(command) = Command::parse(&line) else {
+                return;
+            };
+            let (worker, output) = (Arc::clone(&self), Arc::clone(&output));
+            match command {
+                Command::Run(run) => worker.begin_run(run, output),
+                Command::Load { id, replicas } => worker.begin_load(id, replicas, output),
+                Command::HealthCheck { id } => {
+                    let response = protocol::health_check_response(&id);
+                    tokio::spawn(async move { write_line(&output, &response).await });
+                }
+                Command::Other => {}
+            }
+        }
+    }
+
+    /// Whether nothing between a scheduler and this worker delays what is sent.
+    fn is_undelayed(&self) -> bool {
+        let now = self.recorder.now();
+        let delaying = [
+            &self.switches.delay,
+            &self.switches.fragmentation,
+            &self.switches.black_hole,
+            &self.switches.resets,
+            &self.switches.stall,
+        ];
+        !delaying
+            .iter()
+            .any(|switch| switch.was_on(now, FAULT_AFTER_EFFECT))
+    }
+
+    fn begin_run(self: Arc<Worker>, run: RunCommand, output: Output) {
+        let responds_with_error =
+            self.switches.error_responses.is_on() && fastrand::u8(..100) < ERRORS_PERCENT;
+        let status = if responds_with_error {
+            Status::random_error()
+        } else {
+            Status::Ok
+        };
+        self.recorder.record(Event::AttemptReceived {
+            request: run.request,
+            worker: self.index,
+            time_limit: run.time_limit,
+            is_executed: status.is_executed(),
+            is_undelayed: self.is_undelayed(),
+        });
+        tokio::spawn(async move {
+            if !responds_with_error {
+                sleep(Duration::from_millis(fastrand::u64(EXECUTION_TIMES_MS))).await;
+            }
+            self.respond(&output, &protocol::run_response(&run, status)).await;
+        });
+    }
+
+    /// Sends a response, or what the faults make of it.
+    async fn respond(&self, output: &Mutex<OwnedWriteHalf>, response: &Value) {
+        let is_bad = fastrand::u8(..100) < BAD_RESPONSES_PERCENT;
+        if is_bad && self.switches.corrupt_responses.is_on() {
+            let line = protocol::random_corrupt_line();
+            let _ = output.lock().await.write_all(line).await;
+            return;
+        }
+        write_line(output, response).await;
+        if is_bad && self.switches.duplicate_responses.is_on() {
+            sleep(DUPLICATE_DELAY).await;
+            write_line(output, response).await;
+        }
+    }
+
+    fn begin_load(self: Arc<Worker>, id: CorrelationId, replicas: Value, output: Output) {
+        if replicas.as_u64().is_some_and(|count| count > 0) {
+            self.recorder.record(Event::LoadOrderReceived {
+                worker: self.index,
+                is_undelayed: self.is_undelayed(),
+            });
+        }
+        let response = protocol::load_response(&id, &replicas);
+        tokio::spawn(async move {
+            sleep(LOAD_TIME).await;
+            write_line(&output, &response).await;
+        });
+    }
+}
+
+/// Writes a message. A failure shows as a closed connection when the next command is read.
+async fn write_line(output: &Mutex<OwnedWriteHalf>, message: &Value) {
+    let line = format!("{message}\n");
+    let _ = output.lock().await.write_all(line.as_bytes()).await;
+}
--- /dev/null
+++ b/crates/fault-soak/src/environment/worker/protocol.rs
@@ -0,0 +1,130 @@
+//! The node agents' side of their line protocol, written without the scheduler's own codec so that a fault in that shows.
+
+use crate::request::RequestId;
+use serde_json::{Value, json};
+use std::time::Duration;
+
+/// The id of a command, repeated in its response.
+pub(super) type CorrelationId = Value;
+
+/// A command of a scheduler.
+#[derive(Debug)]
+pub(super) enum Command {
+    Run(RunCommand),
+    /// Load this many replicas of a function; 0 unloads it.
+    Load {
+        id: CorrelationId,
+        replicas: Value,
+    },
+    HealthCheck {
+        id: CorrelationId,
+    },
+    /// A command that gets no response.
+    Other,
+}
+
+/// An attempt of a request.
+#[derive(Debug)]
+pub(super) struct RunCommand {
+    pub(super) request: RequestId,
+    pub(super) time_limit: Duration,
+    id: CorrelationId,
+    content: Value,
+}
+
+/// The status of a response to a [`RunCommand`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Status {
+    Ok,
+    /// The function is not loaded.
+    NotLoaded,
+    /// No capacity.
+    AtCapacity,
+    /// The execution has failed.
+    Failed,
+    /// The time limit has passed before the execution.
+    Expired,
+}
+
+impl Command {
+    /// Parses a line. What is no JSON is an error; what is not understood is [`Command::Other`].
+    pub(super) fn parse(line: &str) -> serde_json::Result<Command> {
+        let command: Value = serde_json::from_str(line)?;
+        let id = command["rid"].clone();
+        Ok(match command["verb"].as_str() {
+            Some("go") => RunCommand::parse(&command, id).map_or(Command::Other, Command::Run),
+            Some("stage") => Command::Load {
+                id,
+                replicas: command["attrs"]["replicas"].clone(),
+            },
+            Some("ping" | "stat") => Command::HealthCheck { id },
+            _ => Command::Other,
+        })
+    }
+}
+
+impl RunCommand {
+    fn parse(command: &Value, id: CorrelationId) -> Option<RunCommand> {
+        let request = u64::from_str_radix(id.as_str()?, 16).ok()?;
+        let time_limit_ms = command["attrs"]["ttl"].as_u64().unwrap_or(u64::MAX);
+        Some(RunCommand {
+            request: RequestId(request),
+            time_limit: Duration::from_millis(time_limit_ms),
+            id,
+            content: command["content"].clone(),
+        })
+    }
+}
+
+impl Status {
+    /// A status other than `Ok`.
+    pub(super) fn random_error() -> Status {
+        let errors = [
+            Status::NotLoaded,
+            Status::AtCapacity,
+            Status::Failed,
+            Status::Expired,
+        ];
+        errors[fastrand::usize(..errors.len())]
+    }
+
+    /// Whether the request may have had an effect.
+    pub(super) fn is_executed(self) -> bool {
+        matches!(self, Status::Ok | Status::Failed)
+    }
+
+    fn verb(self) -> &'static str {
+        match self {
+            Status::Ok => "200",
+            Status::NotLoaded => "404",
+            Status::AtCapacity => "503",
+            Status::Failed => "500",
+            Status::Expired => "504",
+        }
+    }
+}
+
+/// The response to an attempt: a successful one returns the content.
+pub(super) fn run_response(run: &RunCommand, status: Status) -> Value {
+    let mut response = json!({"verb": status.verb(), "rid": run.id});
+    if status == Status::Ok {
+        response["content"] = run.content.clone();
+    }
+    response
+}
+
+/// The response to a load order.
+pub(super) fn load_response(id: &CorrelationId, replicas: &Value) -> Value {
+    json!({"verb": "200", "rid": id, "attrs": {"replicas": replicas}})
+}
+
+/// The response to a health check.
+pub(super) fn health_check_response(id: &CorrelationId) -> Value {
+    json!({"verb": "alive", "rid": id})
+}
+
+/// A line that is not JSON, not UTF-8, or has no id.
+pub(super) fn random_corrupt_line() -> &'static [u8] {
+    let lines: [&[u8]; 3] = [b"{\"verb\":\n", b"\xff\xfe noise\n", b"{\"verb\":\"200\"}\n"];
+    lines[fastrand::usize(..lines.len())]
+}
--- /dev/null
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -0,0 +1,81 @@
+//! The kinds of faults. The first line of a kind's comment is its description on the command line.
+
+use clap::ValueEnum;
+
+/// A kind of fault. A schedule depends on the order of the kinds: a new one goes to the end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ValueEnum)]
+pub(crate) enum FaultKind {
+    /// Sends SIGTERM to a scheduler and starts it again after it has exited.
+    Terminate,
+    /// Sends SIGKILL to a scheduler and starts it again after a pause.
+    Kill,
+    /// Moves the discovery service to its other address and sends SIGHUP to every scheduler.
+    Reload,
+    /// As reload, but one scheduler reads a configuration file that is cut short and completed later.
+    ReloadTruncatedConfig,
+    /// Pauses a scheduler's process with SIGSTOP and resumes it with SIGCONT.
+    Pause,
+    /// Steps a scheduler's wall clock by up to an hour, and back.
+    ClockStep,
+    /// Makes one system call of a scheduler fail, on all calls or on some.
+    SystemCallErrors,
+    /// Makes a scheduler's reads and writes on TCP sockets transfer fewer bytes than asked.
+    ShortIo,
+    /// Does not read a scheduler's log, so that its standard error fills up.
+    LogStall,
+    /// Stops reading from the connections to a worker, so that their buffers fill up.
+    WorkerStall,
+    /// Makes a worker respond to some requests with errors.
+    WorkerErrors,
+    /// Makes a worker send lines that cannot be parsed in place of some responses.
+    WorkerCorruptResponses,
+    /// Makes a worker send some responses twice.
+    WorkerDuplicateResponses,
+    /// Drains a worker, removes it, and starts another process at its address.
+    WorkerReplacement,
+    /// Delays all bytes to and from a worker.
+    NetworkDelay,
+    /// Delivers the bytes to and from a worker a few at a time.
+    NetworkFragmentation,
+    /// Resets some of the connections to a worker.
+    NetworkReset,
+    /// Keeps the connections to a worker open but delivers nothing on them.
+    NetworkBlackHole,
+    /// Makes the discovery service close its connections, new ones too.
+    DiscoveryDown,
+    /// Keeps the connections to the discovery service open but sends nothing on them.
+    DiscoveryBlackHole,
+    /// Makes clients cancel requests, or close connections with requests in flight.
+    ClientsAbandonRequests,
+    /// Makes clients send malformed frames with requests in flight.
+    ClientsMalformedFrames,
+    /// Makes clients ignore GOAWAY and send further requests on the connection.
+    ClientsIgnoreGoAway,
+    /// Opens many client connections that send nothing.
+    ClientsIdle,
+}
+
+impl FaultKind {
+    /// Its name and its description, as the command line has them.
+    pub(crate) fn name_and_description(self) -> (String, String) {
+        let value = self.to_possible_value().expect("no kind is hidden");
+        let description = value.get_help().map(ToString::to_string);
+        (value.get_name().to_owned(), description.unwrap_or_default())
+    }
+
+    /// Whether a scheduler may learn late of a change of the endpoint list.
+    pub(crate) fn delays_endpoint_updates(self) -> bool {
+        matches!(
+            self,
+            FaultKind::Terminate
+                | FaultKind::Kill
+                | FaultKind::Reload
+                | FaultKind::ReloadTruncatedConfig
+                | FaultKind::Pause
+                | FaultKind::SystemCallErrors
+                | FaultKind::ShortIo
+                | FaultKind::DiscoveryDown
+                | FaultKind::DiscoveryBlackHole
+        )
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/faults/reload.rs
@@ -0,0 +1,54 @@
+//! Faults of a reload: the discovery service moves, and the schedulers are sent SIGHUP.
+
+use super::schedule::PlannedFault;
+use crate::environment::{Environment, Scheduler};
+use nix::sys::signal::Signal;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Length of a truncated configuration file.
+const TRUNCATED_BYTES: Range<usize> = 500..1_500;
+/// How long a configuration file stays truncated at most.
+const MAX_TRUNCATED_TIME: Duration = Duration::from_millis(400);
+
+/// Moves the discovery service and notifies every scheduler, the targeted one first.
+pub(super) fn reload(environment: &Environment, target: &Arc<Scheduler>) {
+    environment.discovery.switch_address();
+    let others = environment
+        .schedulers
+        .iter()
+        .filter(|other| !Arc::ptr_eq(other, target));
+    for scheduler in std::iter::once(target).chain(others) {
+        let _ = environment.write_config(scheduler);
+        signal_if_ready(scheduler, Signal::SIGHUP);
+    }
+}
+
+/// Moves the discovery service and has the targeted scheduler reload while its file is truncated. The file is completed
+/// without a further SIGHUP: the scheduler has to find that by itself.
+pub(super) async fn reload_truncated(
+    environment: &Environment,
+    target: &Arc<Scheduler>,
+    fault: &PlannedFault,
+) {
+    environment.discovery.switch_address();
+    let length = TRUNCATED_BYTES.start + fault.variant as usize % TRUNCATED_BYTES.len();
+    let _ = environment.write_truncated_config(target, length);
+    signal_if_ready(target, Signal::SIGHUP);
+    sleep(fault.duration.min(MAX_TRUNCATED_TIME)).await;
+    for scheduler in &environment.schedulers {
+        let _ = environment.write_config(scheduler);
+        if !Arc::ptr_eq(scheduler, target) {
+            signal_if_ready(scheduler, Signal::SIGHUP);
+        }
+    }
+}
+
+/// Before a process is ready it may not handle signals yet.
+fn signal_if_ready(scheduler: &Scheduler, signal: Signal) {
+    if scheduler.is_ready() {
+        scheduler.signal(signal);
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/faults/scheduler_process.rs
@@ -0,0 +1,91 @@
+//! Faults of a scheduler's process: restarts, pauses, and what the shim injects into it.
+
+use super::schedule::PlannedFault;
+use super::system_call_failure::SystemCallFailure;
+use crate::environment::{Environment, Scheduler};
+use fault_control::Slot;
+use nix::sys::signal::Signal;
+use std::ops::RangeInclusive;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Longest pause: the time limit that a worker is given may be off by 0.15 s.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
+/// How long a terminated scheduler still gets new clients, in milliseconds.
+const ROTATION_DELAYS_MS: RangeInclusive<u64> = 200..=400;
+/// How many of a thousand reads and writes are short.
+const SHORT_IO_PER_MILLE: i64 = 500;
+/// Steps of the wall clock, in seconds.
+const CLOCK_STEPS_S: [i64; 6] = [-3_600, -10, -2, 2, 10, 3_600];
+const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
+
+/// Sends SIGTERM, waits for the exit, and starts the scheduler again.
+pub(super) async fn terminate_and_restart(environment: &Environment, scheduler: &Arc<Scheduler>) {
+    let Ok(_lifecycle) = scheduler.lifecycle.try_lock() else {
+        return;
+    };
+    let rotation_delay = Duration::from_millis(fastrand::u64(ROTATION_DELAYS_MS));
+    scheduler.terminate(rotation_delay).await;
+    restart(environment, scheduler).await;
+}
+
+/// Sends SIGKILL, and starts the scheduler again after half of the fault's duration.
+pub(super) async fn kill_and_restart(
+    environment: &Environment,
+    scheduler: &Arc<Scheduler>,
+    fault: &PlannedFault,
+) {
+    let Ok(_lifecycle) = scheduler.lifecycle.try_lock() else {
+        return;
+    };
+    scheduler.kill().await;
+    sleep(fault.duration / 2).await;
+    restart(environment, scheduler).await;
+}
+
+/// Starts a scheduler with the configuration as of now. A failure shows as a scheduler that is not ready.
+async fn restart(environment: &Environment, scheduler: &Arc<Scheduler>) {
+    let _ = environment.write_config(scheduler);
+    let _ = scheduler.start().await;
+}
+
+/// Stops the process, and continues it.
+pub(super) async fn pause(scheduler: &Scheduler, fault: &PlannedFault) {
+    scheduler.signal(Signal::SIGSTOP);
+    sleep(fault.duration.min(MAX_PAUSE)).await;
+    scheduler.signal(Signal::SIGCONT);
+}
+
+/// Steps the wall clock, and back.
+pub(super) async fn step_clock(scheduler: &Scheduler, fault: &PlannedFault) {
+    let seconds = CLOCK_STEPS_S[fault.variant as usize % CLOCK_STEPS_S.len()];
+    let nanoseconds = seconds * NANOSECONDS_PER_SECOND;
+    set_slot_during(scheduler, fault, Slot::WALL_CLOCK_OFFSET, nanoseconds).await;
+}
+
+/// Makes reads and writes short.
+pub(super) async fn shorten_io(scheduler: &Scheduler, fault: &PlannedFault) {
+    set_slot_during(scheduler, fault, Slot::SHORT_IO_RATE, SHORT_IO_PER_MILLE).await;
+}
+
+/// Makes a system call fail.
+pub(super) async fn fail_system_call(scheduler: &Scheduler, fault: &PlannedFault) {
+    let failure = SystemCallFailure::of_variant(fault.variant);
+    let rate = i64::from(failure.rate_per_mille);
+    let _ = scheduler.set_control(Slot::failure_rate_of(failure.call), rate);
+    set_slot_during(
+        scheduler,
+        fault,
+        Slot::error_of(failure.call),
+        failure.error as i64,
+    )
+    .await;
+}
+
+/// Sets a slot of the control file for the duration of the fault, and clears it.
+async fn set_slot_during(scheduler: &Scheduler, fault: &PlannedFault, slot: Slot, value: i64) {
+    let _ = scheduler.set_control(slot, value);
+    sleep(fault.duration).await;
+    let _ = scheduler.set_control(slot, 0);
+}
--- /dev/null
+++ b/crates/fault-soak/src/faults/worker_replacement.rs
@@ -0,0 +1,39 @@
+//! The replacement of a worker by another process at the same address.
+
+use crate::environment::{Environment, ListedWorker, WorkerState};
+use crate::recorder::Event;
+use std::ops::RangeInclusive;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// How long a worker drains before its process exits, in milliseconds.
+const DRAIN_TIMES_MS: RangeInclusive<u64> = 1_500..=6_000;
+/// How long nothing listens at the address.
+const DOWNTIME: Duration = Duration::from_millis(300);
+
+/// Drains a worker, removes it, and starts another process at its address. Nothing is done if the worker is being
+/// replaced already.
+pub(super) async fn replace(environment: &Environment, listed: &ListedWorker) {
+    let Ok(_replacement) = listed.replacement.try_lock() else {
+        return;
+    };
+    let (discovery, recorder) = (&environment.discovery, &environment.recorder);
+    let worker = listed.stand_in.index;
+    let process_is_down = &listed.stand_in.switches.process_is_down;
+
+    let id = listed.id.load(Ordering::Relaxed);
+    recorder.record(Event::WorkerDraining { worker });
+    discovery.publish(id, listed.address, WorkerState::Draining);
+    sleep(Duration::from_millis(fastrand::u64(DRAIN_TIMES_MS))).await;
+
+    discovery.publish(id, listed.address, WorkerState::Deleted);
+    process_is_down.store(true, Ordering::Relaxed);
+    sleep(DOWNTIME).await;
+
+    let id = environment.next_worker_id();
+    listed.id.store(id, Ordering::Relaxed);
+    process_is_down.store(false, Ordering::Relaxed);
+    recorder.record(Event::WorkerReady { worker });
+    discovery.publish_started(id, listed.address);
+}
--- /dev/null
+++ b/crates/fault-soak/src/invariants/history.rs
@@ -0,0 +1,226 @@
+//! The records of a run, ordered by what they are about.
+
+use crate::recorder::{Event, FaultPhase, Incarnation, ProcessEvent, Record};
+use crate::request::{ConnectionId, RequestClass, RequestId, ResponseStatus};
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+/// What the records say of a run.
+#[derive(Debug, Default)]
+pub(super) struct RunHistory {
+    requests: BTreeMap<RequestId, RequestHistory>,
+    /// When a scheduler has closed a connection.
+    pub(super) closed_connections: HashMap<ConnectionId, Duration>,
+    /// When a process was killed.
+    pub(super) killed: HashMap<Incarnation, Duration>,
+    /// The drains of each worker, in order.
+    pub(super) drains: HashMap<usize, Vec<Drain>>,
+    /// Starts and ends of the faults that delay updates of the endpoint list, in order.
+    pub(super) endpoint_update_faults: Vec<EndpointUpdateFault>,
+    /// All work that workers have received, in order.
+    pub(super) dispatches: Vec<Dispatch>,
+}
+
+/// What the records say of one request.
+#[derive(Clone, Debug)]
+pub(super) struct RequestHistory {
+    pub(super) id: RequestId,
+    /// None if the client has not written the whole request.
+    pub(super) sent: Option<SentRequest>,
+    pub(super) responses: Vec<Response>,
+    pub(super) cancelled_at: Option<Duration>,
+    pub(super) attempts: Vec<Attempt>,
+}
+
+/// A request as its client has sent it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SentRequest {
+    pub(super) at: Duration,
+    pub(super) class: RequestClass,
+    pub(super) timeout: Duration,
+    pub(super) connection: ConnectionId,
+    pub(super) incarnation: Incarnation,
+}
+
+/// A response as the client has received it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Response {
+    pub(super) at: Duration,
+    pub(super) status: ResponseStatus,
+    pub(super) body_matches: bool,
+}
+
+/// An attempt as a worker has received it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    pub(super) at: Duration,
+    pub(super) time_limit: Duration,
+    pub(super) is_executed: bool,
+    pub(super) is_undelayed: bool,
+}
+
+/// An attempt or a load order as a worker has received it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Dispatch {
+    pub(super) worker: usize,
+    pub(super) at: Duration,
+    pub(super) is_undelayed: bool,
+}
+
+/// The time for which the endpoint list has a worker as draining or deleted.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Drain {
+    pub(super) started_at: Duration,
+    /// When the next process at its address was ready.
+    pub(super) ready_at: Option<Duration>,
+}
+
+/// The start or the end of a fault that delays updates of the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EndpointUpdateFault {
+    pub(super) at: Duration,
+    pub(super) phase: FaultPhase,
+}
+
+impl RunHistory {
+    pub(super) fn from_records(records: &[Record]) -> RunHistory {
+        let mut history = RunHistory::default();
+        for record in records {
+            history.add(record);
+        }
+        history
+    }
+
+    /// All requests, in the order of their ids.
+    pub(super) fn requests(&self) -> impl Iterator<Item = &RequestHistory> {
+        self.requests.values()
+    }
+
+    fn add(&mut self, record: &Record) {
+        let at = record.at;
+        match record.event {
+            Event::RequestSent { request, .. }
+            | Event::ResponseReceived { request, .. }
+            | Event::RequestCancelled { request } => self.request(request).add(record),
+            Event::AttemptReceived {
+                request,
+                worker,
+                is_undelayed,
+                ..
+            } => {
+                self.request(request).add(record);
+                self.add_dispatch(worker, at, is_undelayed);
+            }
+            Event::LoadOrderReceived { worker, is_undelayed } => {
+                self.add_dispatch(worker, at, is_undelayed);
+            }
+            Event::ConnectionClosed { connection } => {
+                self.closed_connections.insert(connection, at);
+            }
+            Event::WorkerDraining { worker } => self.drains.entry(worker).or_default().push(Drain {
+                started_at: at,
+                ready_at: None,
+            }),
+            Event::WorkerReady { worker } => {
+                if let Some(drain) = self.drains.entry(worker).or_default().last_mut() {
+                    drain.ready_at = Some(at);
+                }
+            }
+            Event::Fault {
+                phase,
+                delays_endpoint_updates,
+                ..
+            } => {
+                if delays_endpoint_updates {
+                    self.endpoint_update_faults
+                        .push(EndpointUpdateFault { at, phase });
+                }
+            }
+            Event::Process {
+                incarnation,
+                event: ProcessEvent::Killed,
+            } => {
+                self.killed.insert(incarnation, at);
+            }
+            Event::Process { .. } => {}
+        }
+    }
+
+    fn request(&mut self, id: RequestId) -> &mut RequestHistory {
+        self.requests.entry(id).or_insert_with(|| RequestHistory::new(id))
+    }
+
+    fn add_dispatch(&mut self, worker: usize, at: Duration, is_undelayed: bool) {
+        self.dispatches.push(Dispatch {
+            worker,
+            at,
+            is_undelayed,
+        });
+    }
+}
+
+impl RequestHistory {
+    fn new(id: RequestId) -> RequestHistory {
+        RequestHistory {
+            id,
+            sent: None,
+            responses: Vec::new(),
+            cancelled_at: None,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Adds a record of this request.
+    fn add(&mut self, record: &Record) {
+        let at = record.at;
+        match record.event {
+            Event::RequestSent {
+                class,
+                timeout,
+                connection,
+                incarnation,
+                ..
+            } => {
+                self.sent = Some(SentRequest {
+                    at,
+                    class,
+                    timeout,
+                    connection,
+                    incarnation,
+                });
+            }
+            Event::ResponseReceived {
+                status, body_matches, ..
+            } => self.responses.push(Response {
+                at,
+                status,
+                body_matches,
+            }),
+            Event::RequestCancelled { .. } => self.cancelled_at = Some(at),
+            Event::AttemptReceived {
+                time_limit,
+                is_executed,
+                is_undelayed,
+                ..
+            } => self.attempts.push(Attempt {
+                at,
+                time_limit,
+                is_executed,
+                is_undelayed,
+            }),
+            _ => {}
+        }
+    }
+
+    /// Its class, if it was sent.
+    pub(super) fn class(&self) -> Option<RequestClass> {
+        self.sent.map(|sent| sent.class)
+    }
+}
+
+impl SentRequest {
+    /// When its timeout has passed.
+    pub(super) fn deadline(&self) -> Duration {
+        self.at + self.timeout
+    }
+}
--- /dev/null
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -0,0 +1,82 @@
+//! The oracle: it decides from the records of a run which invariants the schedulers have violated.
+//!
+//! It owns the invariants and their tolerances, one invariant in each module. It depends on what the pages promise and on
+//! what was observed from outside, and on nothing of the schedulers' code. It keeps no state between runs.
+//!
+//! [`check`] orders the records by what they are about ([`history`]), and then checks each request, each worker and each
+//! process. [`check_recovery`] needs a run whose clients go on after the last fault, and is therefore separate.
+
+mod attempt_limit;
+mod cancellation;
+mod draining;
+mod final_response;
+mod history;
+mod process_exit;
+mod process_health;
+mod recovery;
+mod response_body;
+mod response_deadline;
+mod retry_safety;
+mod single_response;
+#[cfg(test)]
+mod tests;
+mod time_limit;
+mod violation;
+
+pub(crate) use recovery::check as check_recovery;
+pub(crate) use violation::{Invariant, Violation};
+
+use crate::recorder::Record;
+use crate::timer_lag::TimerLag;
+use history::{RequestHistory, RunHistory};
+use std::time::Duration;
+
+/// Every time limit is this much longer on sockets (page PROTOCOL).
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+
+/// What an invariant of a request is checked against, beside the request itself.
+struct Context<'a> {
+    history: &'a RunHistory,
+    timer_lag: &'a TimerLag,
+    /// When the run ended.
+    ended_at: Duration,
+}
+
+/// Checks an invariant of one request.
+type RequestCheck = fn(&RequestHistory, &Context) -> Option<Violation>;
+
+/// The checks of a request. Of each group only the first violation counts, since the other checks of the group assume that
+/// the earlier invariants hold.
+const REQUEST_CHECKS: [&[RequestCheck]; 4] = [
+    &[
+        single_response::check,
+        final_response::check,
+        response_deadline::check,
+        response_body::check,
+        retry_safety::check_rejection,
+    ],
+    &[attempt_limit::check, retry_safety::check_retries],
+    &[cancellation::check],
+    &[time_limit::check],
+];
+
+/// The violations of a run that ended at `ended_at`, in the order of their times.
+pub(crate) fn check(records: &[Record], ended_at: Duration, timer_lag: &TimerLag) -> Vec<Violation> {
+    let history = RunHistory::from_records(records);
+    let context = Context {
+        history: &history,
+        timer_lag,
+        ended_at,
+    };
+    let mut violations = process_exit::check(records);
+    violations.extend(process_health::check(records));
+    for request in history.requests() {
+        let of_request = REQUEST_CHECKS
+            .iter()
+            .filter_map(|group| group.iter().find_map(|check| check(request, &context)));
+        violations.extend(of_request);
+    }
+    violations.extend(draining::check(&history, timer_lag));
+    violations.sort_by_key(|violation| violation.at);
+    violations
+}
--- /dev/null
+++ b/crates/fault-soak/src/invariants/process_health.rs
@@ -0,0 +1,20 @@
+//! A process is ready and gone in time, holds little at rest, and reports no violation itself.
+
+use super::{Invariant, Violation};
+use crate::recorder::{Event, ProcessEvent, Record};
+
+pub(super) fn check(records: &[Record]) -> Vec<Violation> {
+    records.iter().filter_map(check_record).collect()
+}
+
+fn check_record(record: &Record) -> Option<Violation> {
+    let Event::Process {
+        incarnation,
+        event: ProcessEvent::Unhealthy { reason },
+    } = &record.event
+    else {
+        return None;
+    };
+    let details = format!("{incarnation:?} {reason}");
+    Some(Violation::new(Invariant::ProcessHealth, record.at, details))
+}
--- /dev/null
+++ b/crates/fault-soak/src/invariants/recovery.rs
@@ -0,0 +1,40 @@
+//! Service comes back after the last fault.
+
+use super::{Invariant, Violation};
+use crate::recorder::{Event, Record};
+use crate::request::ResponseStatus;
+use std::collections::HashSet;
+use std::time::Duration;
+
+/// Service is measured for this time before the clients stop.
+const WINDOW: Duration = Duration::from_millis(2_000);
+/// The fraction of the requests, 0 to 1, that has to be served.
+const MIN_SERVED_FRACTION: f64 = 0.5;
+/// The requests that have to be sent: with fewer, the fraction says nothing.
+const MIN_REQUESTS: usize = 20;
+
+/// Checks the last requests of a run whose clients stopped at `clients_stopped_at`.
+pub(crate) fn check(records: &[Record], clients_stopped_at: Duration) -> Option<Violation> {
+    let window_start = clients_stopped_at.saturating_sub(WINDOW);
+    let mut sent = HashSet::new();
+    let mut served = 0usize;
+    for record in records {
+        match &record.event {
+            Event::RequestSent { request, .. } if record.at >= window_start => {
+                sent.insert(*request);
+            }
+            Event::ResponseReceived {
+                request,
+                status: ResponseStatus::Served,
+                ..
+            } if sent.contains(request) => served += 1,
+            _ => {}
+        }
+    }
+    let served_fraction = served as f64 / sent.len().max(1) as f64;
+    let has_recovered = served_fraction >= MIN_SERVED_FRACTION && sent.len() >= MIN_REQUESTS;
+    (!has_recovered).then(|| {
+        let details = format!("{served_fraction:.2} of {} requests served", sent.len());
+        Violation::new(Invariant::Recovery, clients_stopped_at, details)
+    })
+}
--- /dev/null
+++ b/crates/fault-soak/src/invariants/time_limit.rs
@@ -0,0 +1,24 @@
+//! B3: a worker is given no more time than the client has left.
+
+use super::history::RequestHistory;
+use super::{Context, Invariant, Violation};
+use std::time::Duration;
+
+/// A time limit may be this much longer (terms of 2026-12-02).
+const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(150);
+
+pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
+    let sent = request.sent?;
+    let too_long = request.attempts.iter().find(|attempt| {
+        let time_left = sent.deadline().saturating_sub(attempt.at);
+        let tolerance = TIME_LIMIT_TOLERANCE + context.timer_lag.around(attempt.at);
+        attempt.is_undelayed && attempt.time_limit > time_left + tolerance
+    })?;
+    let details = format!("{too_long:?}, sent at {:?}, timeout {:?}", sent.at, sent.timeout);
+    Some(Violation::of_request(
+        Invariant::TimeLimit,
+        request.id,
+        too_long.at,
+        details,
+    ))
+}
--- a/crates/fault-soak/src/recorder.rs
+++ b/crates/fault-soak/src/recorder.rs
@@ -1,108 +1,101 @@
-//! What clients, workers and the processes saw, in the order in which it happened.
+//! The event log of a run: what clients, workers and processes observed, in the order in which it happened.
 
+use crate::request::{ConnectionId, RequestClass, RequestId, ResponseStatus};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The number of a request, the same on both sides of a scheduler.
-pub(crate) type RequestNumber = u64;
-
-/// One life of a scheduler: its index and how often it was started before.
+/// One process of a scheduler: the scheduler's index, and how often it has been started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Incarnation {
     pub(crate) scheduler: usize,
     pub(crate) generation: u32,
 }
 
-/// Something that was seen.
+/// An observation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A client has written a request completely.
-    Sent {
-        request: RequestNumber,
+    /// A client has written a whole request.
+    RequestSent {
+        request: RequestId,
         class: RequestClass,
-        allowed: Duration,
-        connection: u64,
+        timeout: Duration,
+        connection: ConnectionId,
         incarnation: Incarnation,
     },
-    /// A client has received an answer.
-    Answered {
-        request: RequestNumber,
-        answer: Answer,
-        body_is_right: bool,
+    /// A client has received a response.
+    ResponseReceived {
+        request: RequestId,
+        status: ResponseStatus,
+        body_matches: bool,
     },
-    /// A client no longer waits for a request.
-    Left { request: RequestNumber },
-    /// A connection has been ended by its scheduler.
-    ConnectionEnded { connection: u64 },
-    /// A request has come whole to a worker.
-    Arrived {
-        request: RequestNumber,
+    /// A client has cancelled a request, or closed the connection with the request in flight.
+    RequestCancelled { request: RequestId },
+    /// A scheduler has closed a connection.
+    ConnectionClosed { connection: ConnectionId },
+    /// A worker has received a whole attempt of a request.
+    AttemptReceived {
+        request: RequestId,
         worker: usize,
         time_limit: Duration,
-        runs: bool,
-        /// Nothing between the scheduler and the worker delays or cuts what is sent.
-        is_prompt: bool,
+        is_executed: bool,
+        /// No fault of the network or the worker delays it, so that it arrives when it is sent.
+        is_undelayed: bool,
     },
-    /// An order to load has come to a worker.
-    LoadArrived { worker: usize, is_prompt: bool },
-    /// The list says from now on that a worker takes no new work.
-    Draining { worker: usize },
-    /// The list says from now on that a worker is ready, a new process at its old address.
-    Ready { worker: usize },
-    /// A fault begins or ends.
+    /// A worker has received a load order.
+    LoadOrderReceived { worker: usize, is_undelayed: bool },
+    /// From now on the endpoint list has a worker as draining.
+    WorkerDraining { worker: usize },
+    /// From now on the endpoint list has a worker as ready, as a new process at its old address.
+    WorkerReady { worker: usize },
+    /// A fault starts or ends.
     Fault {
         number: usize,
-        text: String,
-        begins: bool,
-        /// While it lasts, and some time after, a scheduler may not have been told of what the list says.
-        delays_list: bool,
+        description: String,
+        phase: FaultPhase,
+        /// While it lasts, and for some time after, a scheduler may not know of changes of the endpoint list.
+        delays_endpoint_updates: bool,
     },
-    /// A scheduler was started, is ready, was told to end, was killed, has ended, or was found in a broken state.
+    /// The state of a scheduler's process has changed.
     Process {
         incarnation: Incarnation,
         event: ProcessEvent,
     },
 }
 
-/// What became of a scheduler's process.
+/// Whether a fault starts or ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FaultPhase {
+    Started,
+    Ended,
+}
+
+/// A change of state of a scheduler's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessEvent {
     Started,
     Ready,
+    /// It was sent SIGTERM.
     Terminated,
+    /// It was sent SIGKILL.
     Killed,
-    Ended {
+    Exited {
         success: bool,
-        was_asked: bool,
+        was_requested: bool,
+    },
+    /// It is not ready or gone in time, holds too much at rest, or reports a violation itself.
+    Unhealthy {
+        reason: String,
     },
-    /// It is not ready in time, has not ended in time, or says of itself that a promise is broken.
-    Broken(String),
-}
-
-/// What a class permits.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum RequestClass {
-    Idempotent,
-    Keyed,
-    NonIdempotent,
-}
-
-/// The code of an answer.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Answer {
-    Served,
-    Rejected,
-    Failed,
 }
 
-/// An event and when it was seen.
+/// An event and when it was observed, since the start of the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) at: Duration,
     pub(crate) event: Event,
 }
 
-/// Collects records of all tasks.
+/// Collects the events of all tasks.
 #[derive(Debug)]
 pub(crate) struct Recorder {
     start: Instant,
@@ -117,28 +110,27 @@
         }
     }
 
-    /// When the records begin.
+    /// When the run started.
     pub(crate) fn start(&self) -> Instant {
         self.start
     }
 
-    /// The time since the start.
+    /// The time since the start of the run.
     pub(crate) fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Records an event that is seen now.
+    /// Records an event that is observed now.
     pub(crate) fn record(&self, event: Event) {
         let mut records = self.records.lock().expect("no task panics while it records");
-        let at = self.start.elapsed();
+        // Read under the lock, so that the records are in the order of their times.
+        let at = self.now();
         records.push(Record { at, event });
     }
 
     /// All records so far, in order.
     pub(crate) fn records(&self) -> Vec<Record> {
-        self.records
-            .lock()
-            .expect("no task panics while it records")
-            .clone()
+        let records = self.records.lock().expect("no task panics while it records");
+        records.clone()
     }
 }
--- /dev/null
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -0,0 +1,63 @@
+//! How late the soak's own timers fire: the times that it observes are off by as much at most.
+
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+use tokio::time::sleep;
+
+/// Interval of the timer that is measured.
+const TICK: Duration = Duration::from_millis(5);
+/// A late tick counts for all events within this time of it.
+const NEARBY: Duration = Duration::from_millis(1_000);
+/// A tick that is late by no more than this is within the timer's resolution.
+const RESOLUTION: Duration = Duration::from_millis(4);
+
+/// The ticks that were late.
+#[derive(Debug, Default)]
+pub(crate) struct TimerLag {
+    late_ticks: Mutex<Vec<LateTick>>,
+}
+
+#[derive(Debug)]
+struct LateTick {
+    at: Duration,
+    lag: Duration,
+}
+
+impl TimerLag {
+    /// Starts to measure, for as long as the runtime lasts.
+    pub(crate) fn measure(start: Instant) -> Arc<TimerLag> {
+        let timer_lag = Arc::new(TimerLag::default());
+        let measured = Arc::clone(&timer_lag);
+        tokio::spawn(async move {
+            loop {
+                let tick_started_at = Instant::now();
+                sleep(TICK).await;
+                let lag = tick_started_at.elapsed().saturating_sub(TICK);
+                if lag > RESOLUTION {
+                    let at = start.elapsed();
+                    measured.late_ticks().push(LateTick { at, lag });
+                }
+            }
+        });
+        timer_lag
+    }
+
+    /// The longest lag around a time.
+    pub(crate) fn around(&self, at: Duration) -> Duration {
+        let late_ticks = self.late_ticks();
+        let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < NEARBY);
+        nearby.map(|tick| tick.lag).max().unwrap_or_default()
+    }
+
+    /// The longest lag of the run.
+    pub(crate) fn max(&self) -> Duration {
+        let late_ticks = self.late_ticks();
+        late_ticks.iter().map(|tick| tick.lag).max().unwrap_or_default()
+    }
+
+    fn late_ticks(&self) -> MutexGuard<'_, Vec<LateTick>> {
+        self.late_ticks
+            .lock()
+            .expect("no task panics while it holds the lock")
+    }
+}
