--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -8,7 +8,8 @@
 use super::limits::Limits;
 use super::write_queue::WriteQueue;
 use crate::model::{Span, Time};
-use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
+use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
+use crate::runtime::{Context, RuntimeState};
 use crate::scheduler::{AttemptError, FailureCause, HealthCheckId, WriteProgress};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -105,6 +106,7 @@
             cause: FailureCause::NoResponse,
         };
         context
+            .shared
             .scheduler
             .health_check_ended(context.now, check, Err(error));
     }
@@ -132,20 +134,19 @@
 
 /// Reports an exchange that the connection's end has cut off.
 fn report_failure(exchange: Exchange, error: AttemptError, context: &mut Context) {
+    let scheduler = &mut context.shared.scheduler;
     match exchange {
-        Exchange::Attempt(attempt) => context.scheduler.attempt_ended(context.now, attempt, Err(error)),
-        Exchange::LoadOrder(order) => context.scheduler.load_order_ended(context.now, order, Err(error)),
-        Exchange::HealthCheck(check) => context
-            .scheduler
-            .health_check_ended(context.now, check, Err(error)),
+        Exchange::Attempt(attempt) => scheduler.attempt_ended(context.now, attempt, Err(error)),
+        Exchange::LoadOrder(order) => scheduler.load_order_ended(context.now, order, Err(error)),
+        Exchange::HealthCheck(check) => scheduler.health_check_ended(context.now, check, Err(error)),
     }
 }
 
-impl Connection for WorkerConnection {
+impl Connection<RuntimeState> for WorkerConnection {
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         self.connect_deadline = None;
         self.last_activity = context.now;
-        context.scheduler.counters().worker_connections_opened += 1;
+        context.shared.scheduler.counters().worker_connections_opened += 1;
         self.flush_jobs(socket, context)
     }
 
@@ -171,7 +172,7 @@
 
     fn may_write_rest(&self, context: &mut Context) -> bool {
         match self.write_queue.writing() {
-            Some(Exchange::Attempt(attempt)) => context.scheduler.admits_rest(context.now, attempt),
+            Some(Exchange::Attempt(attempt)) => context.shared.scheduler.admits_rest(context.now, attempt),
             _ => true,
         }
     }
--- a/src/backend/connection/answers.rs
+++ b/src/backend/connection/answers.rs
@@ -3,7 +3,8 @@
 use super::WorkerConnection;
 use crate::backend::codec::{DecodeError, ResponseMessage, WorkerMessage};
 use crate::backend::correlation::Exchange;
-use crate::net::{ConnectionFlow, Context};
+use crate::net::ConnectionFlow;
+use crate::runtime::Context;
 use crate::scheduler::{
     AttemptError, AttemptId, FailureCause, HealthCheckId, LoadOrderId, LoadResult, WorkerResponse,
     WriteProgress,
@@ -43,19 +44,17 @@
         if !matches!(message.response, WorkerResponse::Ok(_)) {
             self.correlations.retire(message.correlation_id, context.now);
         }
-        context
-            .scheduler
-            .record_load_report(attempt, &message.load_report);
-        context
-            .scheduler
-            .attempt_ended(context.now, attempt, Ok(message.response));
+        let scheduler = &mut context.shared.scheduler;
+        scheduler.record_load_report(attempt, &message.load_report);
+        scheduler.attempt_ended(context.now, attempt, Ok(message.response));
     }
 
     fn handle_alive(&mut self, correlation_id: &str, context: &mut Context) {
         if let Some(Exchange::HealthCheck(check)) = self.correlations.exchange(correlation_id) {
             self.correlations.close(correlation_id);
             self.health_check = None;
-            context.scheduler.health_check_ended(context.now, check, Ok(()));
+            let scheduler = &mut context.shared.scheduler;
+            scheduler.health_check_ended(context.now, check, Ok(()));
         }
     }
 
@@ -66,13 +65,12 @@
             progress: WriteProgress::Answered,
             cause: FailureCause::NotAlive,
         };
-        context
-            .scheduler
-            .health_check_ended(context.now, check, Err(error));
+        let scheduler = &mut context.shared.scheduler;
+        scheduler.health_check_ended(context.now, check, Err(error));
     }
 
     fn handle_decode_error(&mut self, error: &DecodeError, context: &mut Context) {
-        context.scheduler.counters().decode_errors += 1;
+        context.shared.scheduler.counters().decode_errors += 1;
         let exchange = error
             .correlation_id
             .as_ref()
@@ -82,7 +80,8 @@
                 progress: WriteProgress::Answered,
                 cause: FailureCause::UndecodableResponse,
             };
-            context.scheduler.attempt_ended(context.now, attempt, Err(error));
+            let scheduler = &mut context.shared.scheduler;
+            scheduler.attempt_ended(context.now, attempt, Err(error));
         }
     }
 }
@@ -92,5 +91,6 @@
         status: message.response.load_status(),
         instances: message.instances.unwrap_or(0),
     };
-    context.scheduler.load_order_ended(context.now, order, Ok(result));
+    let scheduler = &mut context.shared.scheduler;
+    scheduler.load_order_ended(context.now, order, Ok(result));
 }
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -4,7 +4,8 @@
 use crate::backend::correlation::{Exchange, health_check_correlation_id, load_order_correlation_id};
 use crate::backend::job::Job;
 use crate::model::{FunctionId, Time};
-use crate::net::{BufferedStream, ConnectionFlow, Context};
+use crate::net::{BufferedStream, ConnectionFlow};
+use crate::runtime::Context;
 use crate::scheduler::{AttemptId, LoadOrderId, RequestPayload};
 
 impl WorkerConnection {
@@ -61,7 +62,7 @@
     ) -> ConnectionFlow {
         while socket.is_connected() && socket.unsent() == 0 {
             if let Some(Exchange::Attempt(attempt)) = self.write_queue.finish_write() {
-                context.scheduler.attempt_written(context.now, attempt);
+                context.shared.scheduler.attempt_written(context.now, attempt);
             }
             let Some(job) = self.write_queue.pop() else {
                 break;
@@ -109,9 +110,9 @@
         deadline: Time,
         context: &mut Context,
     ) -> Option<Vec<u8>> {
-        if !context.scheduler.admits_write(context.now, attempt) {
+        if !context.shared.scheduler.admits_write(context.now, attempt) {
             self.correlations.close_unsent_attempt(attempt);
-            context.scheduler.attempt_not_sent(context.now, attempt);
+            context.shared.scheduler.attempt_not_sent(context.now, attempt);
             return None;
         }
         self.write_queue.begin_write(Exchange::Attempt(attempt));
@@ -126,9 +127,9 @@
         context: &mut Context,
     ) -> Option<Vec<u8>> {
         let correlation_id = load_order_correlation_id(order);
-        if !context.scheduler.admits_load_order(context.now, order) {
+        if !context.shared.scheduler.admits_load_order(context.now, order) {
             self.correlations.close(&correlation_id);
-            context.scheduler.load_order_not_sent(context.now, order);
+            context.shared.scheduler.load_order_not_sent(context.now, order);
             return None;
         }
         self.write_queue.begin_write(Exchange::LoadOrder(order));
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -8,7 +8,8 @@
 use super::limits::Limits;
 use super::node_agent_codec::NodeAgentCodec;
 use crate::model::{ConnectionId, Time, WorkerId};
-use crate::net::{ConnectionFlow, Reactor};
+use crate::net::ConnectionFlow;
+use crate::runtime::Reactor;
 use crate::scheduler::{AttemptError, AttemptId, Command, FailureCause, Scheduler, WriteProgress};
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
@@ -63,11 +64,11 @@
     }
 
     /// Sets new limits, also for the connections that are open.
-    pub fn configure(&mut self, limits: Limits, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub fn configure(&mut self, limits: Limits, reactor: &mut Reactor) {
         self.limits.set(limits);
         // The reactor asks a connection for its deadline after each callback.
         for connection in reactor.connection_ids() {
-            reactor.with_connection(connection, scheduler, |_, _, _| ConnectionFlow::Continue);
+            reactor.with_connection(connection, |_, _, _| ConnectionFlow::Continue);
         }
     }
 
@@ -97,7 +98,7 @@
     }
 
     /// Carries out a command of the scheduler, if it is one for a worker.
-    pub fn command(&mut self, command: Command, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub fn command(&mut self, command: Command, reactor: &mut Reactor) {
         match command {
             Command::Send {
                 attempt,
@@ -110,11 +111,11 @@
                     payload,
                     deadline,
                 };
-                self.submit(worker, job, reactor, scheduler);
+                self.submit(worker, job, reactor);
             }
             Command::Cancel { attempt, .. } => {
                 if let Some(connection) = self.routes.remove(&attempt) {
-                    submit_to(connection, Job::Cancel { attempt }, reactor, scheduler);
+                    submit_to(connection, Job::Cancel { attempt }, reactor);
                 }
             }
             Command::Load {
@@ -128,7 +129,7 @@
                     function,
                     instances,
                 };
-                self.submit(worker, job, reactor, scheduler);
+                self.submit(worker, job, reactor);
             }
             Command::HealthCheck {
                 check,
@@ -136,25 +137,25 @@
                 deadline,
             } => {
                 let job = Job::HealthCheck { check, deadline };
-                self.submit(worker, job, reactor, scheduler);
+                self.submit(worker, job, reactor);
             }
             Command::Unload { worker, function } => {
-                self.submit(worker, Job::Unload { function }, reactor, scheduler);
+                self.submit(worker, Job::Unload { function }, reactor);
             }
             Command::Respond { .. } => {}
         }
     }
 
     /// Hands a command for a worker to one of its connections, or reports that no connection can be had.
-    fn submit(&mut self, worker: WorkerId, job: Job, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    fn submit(&mut self, worker: WorkerId, job: Job, reactor: &mut Reactor) {
         let correlation_id = job.attempt_correlation_id();
-        let Some(connection) = self.connection_to(worker, correlation_id, reactor, scheduler) else {
-            return report_not_sent(&job, reactor.now(), scheduler);
+        let Some(connection) = self.connection_to(worker, correlation_id, reactor) else {
+            return report_not_sent(&job, reactor.now(), &mut reactor.shared.scheduler);
         };
         if let Job::Start { attempt, .. } = &job {
             self.routes.insert(*attempt, connection);
         }
-        submit_to(connection, job, reactor, scheduler);
+        submit_to(connection, job, reactor);
     }
 
     /// The connection that a command to a worker takes, which may be a new one. An attempt gives its
@@ -165,7 +166,6 @@
         worker: WorkerId,
         correlation_id: Option<&str>,
         reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
     ) -> Option<ConnectionId> {
         let max_spread = self.max_spread();
         let descriptors_left = self.has_descriptors_left(reactor);
@@ -185,10 +185,10 @@
         if target.connections.len() >= MAX_CONNECTIONS_PER_WORKER {
             return None;
         }
-        if !descriptors_left && !self.make_room(reactor, scheduler) {
+        if !descriptors_left && !self.make_room(reactor) {
             return None;
         }
-        self.connect(worker, reactor, scheduler)
+        self.connect(worker, reactor)
     }
 
     /// Whether another connection fits into the descriptors, and into the part of them that clients leave.
@@ -200,12 +200,12 @@
     }
 
     /// Closes an idle connection so that another fits.
-    fn make_room(&self, reactor: &mut Reactor, scheduler: &mut Scheduler) -> bool {
+    fn make_room(&self, reactor: &mut Reactor) -> bool {
         let outgoing = reactor.connection_count() - reactor.client_count();
         if outgoing < self.limits.get().max_outgoing_connections {
-            reactor.close_longest_idle(scheduler)
+            reactor.close_longest_idle()
         } else {
-            reactor.close_longest_idle_outgoing(scheduler)
+            reactor.close_longest_idle_outgoing()
         }
     }
 
@@ -221,12 +221,7 @@
     }
 
     /// Begins to establish a new connection to a worker.
-    fn connect(
-        &mut self,
-        worker: WorkerId,
-        reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
-    ) -> Option<ConnectionId> {
+    fn connect(&mut self, worker: WorkerId, reactor: &mut Reactor) -> Option<ConnectionId> {
         let target = self.targets.get_mut(&worker)?;
         let (stream, codec) = match &target.address {
             WorkerAddress::NodeAgent(address) => (reactor.connect(*address), &self.node_agent_codec),
@@ -238,7 +233,6 @@
             stream.ok()?,
             Box::new(connection),
             WorkerConnection::BUFFER_LIMITS,
-            scheduler,
         )?;
         target.connections.push(connection);
         Some(connection)
@@ -274,12 +268,10 @@
 
 /// Hands a command to a connection. A cancellation for one that has closed is dropped: what was open has
 /// ended.
-fn submit_to(connection: ConnectionId, job: Job, reactor: &mut Reactor, scheduler: &mut Scheduler) {
-    reactor.with_connection_of(
-        connection,
-        scheduler,
-        |worker: &mut WorkerConnection, socket, context| worker.submit(job, socket, context),
-    );
+fn submit_to(connection: ConnectionId, job: Job, reactor: &mut Reactor) {
+    reactor.with_connection_of(connection, |worker: &mut WorkerConnection, socket, context| {
+        worker.submit(job, socket, context)
+    });
 }
 
 /// Reports a command for which no connection can be had.
--- a/src/client.rs
+++ b/src/client.rs
@@ -54,7 +54,7 @@
 use crate::model::{
     ConnectionId, Endpoint, EndpointState, EndpointUpdateKind, Site, StreamId, Time, WorkerId,
 };
-use crate::net::{Reactor, SystemClock};
+use crate::runtime::{self, Reactor};
 use crate::scheduler::{
     ClientRequest, Command, Counters, RequestOrigin, RequestParameters, Response, Scheduler,
 };
@@ -89,7 +89,7 @@
 
 /// A scheduler inside its client. See the module's page.
 pub struct Client {
-    scheduler: Scheduler,
+    /// Owns the scheduler, which its connections share.
     reactor: Reactor,
     pool: Pool,
     last_request: u64,
@@ -106,9 +106,8 @@
     /// Those of the operating system, where it refuses the event queue on which the client waits.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         Ok(Client {
-            reactor: Reactor::new(SystemClock::new())?,
             pool: Pool::new(Limits::for_site(&site, MAX_CONNECTIONS)),
-            scheduler: Scheduler::new(site, seed),
+            reactor: runtime::reactor(Scheduler::new(site, seed))?,
             last_request: 0,
             correlation_prefix: correlation_prefix(seed),
             completed: Vec::new(),
@@ -124,8 +123,9 @@
     pub fn set_endpoints(&mut self, workers: Vec<WorkerEndpoint>) {
         self.update_addresses(&workers);
         let endpoints = workers.into_iter().map(|worker| worker.endpoint).collect();
-        self.scheduler
-            .update_endpoints(self.reactor.now(), EndpointUpdateKind::Snapshot, endpoints);
+        let now = self.reactor.now();
+        let scheduler = &mut self.reactor.shared.scheduler;
+        scheduler.update_endpoints(now, EndpointUpdateKind::Snapshot, endpoints);
         self.run_commands();
     }
 
@@ -138,14 +138,16 @@
             correlation_id: self.correlation_id(id),
             parameters,
         };
-        self.scheduler.submit(self.reactor.now(), request);
+        let now = self.reactor.now();
+        self.reactor.shared.scheduler.submit(now, request);
         self.run_commands();
         id
     }
 
     /// Cancels a request: there will be no response, and the worker is notified where it can stop the work.
     pub fn cancel(&mut self, request: SubmittedRequestId) {
-        self.scheduler.cancel(self.reactor.now(), origin(request));
+        let now = self.reactor.now();
+        self.reactor.shared.scheduler.cancel(now, origin(request));
         self.completed.retain(|completed| completed.request != request);
         self.run_commands();
     }
@@ -158,11 +160,9 @@
     /// Those of the operating system, where waiting on the event queue fails.
     pub fn poll(&mut self, until: Time) -> io::Result<Vec<CompletedRequest>> {
         if self.completed.is_empty() {
-            let wake_at = self
-                .scheduler
-                .next_timer()
-                .map_or(until, |timer| timer.min(until));
-            self.reactor.poll(Some(wake_at), &mut self.scheduler)?;
+            let next_timer = self.reactor.shared.scheduler.next_timer();
+            let wake_at = next_timer.map_or(until, |timer| timer.min(until));
+            self.reactor.poll(Some(wake_at))?;
             self.run_commands();
         }
         Ok(std::mem::take(&mut self.completed))
@@ -170,7 +170,7 @@
 
     /// What has been counted so far.
     pub fn counters(&mut self) -> &Counters {
-        self.scheduler.counters()
+        self.reactor.shared.scheduler.counters()
     }
 
     /// Keeps the pool's addresses in step with the endpoint list, before the scheduler may send to new
@@ -192,17 +192,18 @@
 
     /// Carries out what the scheduler wants done.
     fn run_commands(&mut self) {
-        self.scheduler.fire_timers(self.reactor.now());
-        while let Some(command) = self.scheduler.next_command() {
+        let now = self.reactor.now();
+        self.reactor.shared.scheduler.fire_timers(now);
+        while let Some(command) = self.reactor.shared.scheduler.next_command() {
             match command {
                 Command::Respond { origin, response } => {
                     let request = SubmittedRequestId(origin.stream.0);
                     self.completed.push(CompletedRequest { request, response });
                 }
-                command => self.pool.command(command, &mut self.reactor, &mut self.scheduler),
+                command => self.pool.command(command, &mut self.reactor),
             }
         }
-        self.pool.forget_ended(&self.scheduler);
+        self.pool.forget_ended(&self.reactor.shared.scheduler);
     }
 
     /// The name under which workers see a request: 16 hexadecimal digits.
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -17,8 +17,8 @@
 
 use crate::collections::ExponentialBackoff;
 use crate::model::{ConnectionId, Endpoint, EndpointUpdateKind, Span, Time};
-use crate::net::{BufferLimits, CloseCause, Reactor};
-use crate::scheduler::Scheduler;
+use crate::net::{BufferLimits, CloseCause};
+use crate::runtime::Reactor;
 use codec::{LENGTH_FIELD_LENGTH, MAX_FRAME_LENGTH};
 use endpoint_list::EndpointList;
 use std::cell::RefCell;
@@ -99,7 +99,7 @@
     }
 
     /// Begins a connection to the event bus when there is none and its time has come.
-    pub(crate) fn poll_watch(&mut self, now: Time, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub(crate) fn poll_watch(&mut self, now: Time, reactor: &mut Reactor) {
         let Some(address) = self.watch_address else {
             self.reconnect_at = None;
             return;
@@ -108,7 +108,7 @@
         if self.reconnect_at.take_if(|at| *at <= now).is_none() {
             return;
         }
-        self.connection = self.connect(address, now, reactor, scheduler);
+        self.connection = self.connect(address, now, reactor);
         if self.connection.is_none() {
             self.schedule_after_immediate_failure(now);
         }
@@ -136,12 +136,12 @@
 
     /// Ends the present connection, as the old address publishes nothing more, and has the next one begun at
     /// once. It continues after the last event received; the end of the old one neither counts nor delays it.
-    pub(crate) fn restart_watch(&mut self, now: Time, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub(crate) fn restart_watch(&mut self, now: Time, reactor: &mut Reactor) {
         let pending = std::mem::take(&mut self.queue.borrow_mut().events);
         let queue = WatchQueue::new(pending, self.last_offset());
         self.queue = Rc::new(RefCell::new(queue));
         if let Some(connection) = self.connection.take() {
-            reactor.close_connection(connection, CloseCause::NotNeeded, scheduler);
+            reactor.close_connection(connection, CloseCause::NotNeeded);
         }
         self.reconnect_at = Some(now);
     }
@@ -169,23 +169,17 @@
     }
 
     /// Begins a connection; none if it failed at once.
-    fn connect(
-        &self,
-        address: SocketAddr,
-        now: Time,
-        reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
-    ) -> Option<ConnectionId> {
+    fn connect(&self, address: SocketAddr, now: Time, reactor: &mut Reactor) -> Option<ConnectionId> {
         let stream = match reactor.connect(address) {
             Ok(stream) => stream,
             Err(error) => {
-                if scheduler.may_log(now) {
+                if reactor.shared.scheduler.may_log(now) {
                     warn!("bus connection failed why=\"{error}\"");
                 }
                 return None;
             }
         };
         let connection = WatchConnection::new(self.queue.clone(), now);
-        reactor.add_connecting(stream, Box::new(connection), BUFFER_LIMITS, scheduler)
+        reactor.add_connecting(stream, Box::new(connection), BUFFER_LIMITS)
     }
 }
--- a/src/discovery/tests/watch.rs
+++ b/src/discovery/tests/watch.rs
@@ -5,7 +5,8 @@
 use crate::discovery::Discovery;
 use crate::discovery::watch_connection::{WatchConnection, WatchQueue};
 use crate::model::{ConnectionId, EndpointState, Span, Time};
-use crate::net::{Connection, Reactor, SystemClock};
+use crate::net::Connection;
+use crate::runtime::{self, Reactor};
 use crate::scheduler::Scheduler;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -25,22 +26,20 @@
 struct Watch {
     discovery: Discovery,
     reactor: Reactor,
-    scheduler: Scheduler,
 }
 
 impl Watch {
     fn new(address: Option<SocketAddr>) -> Watch {
-        let reactor = Reactor::new(SystemClock::new()).unwrap();
+        let scheduler = Scheduler::new(parse_site(SITE).unwrap(), 1);
+        let reactor = runtime::reactor(scheduler).unwrap();
         Watch {
             discovery: Discovery::new(address, Vec::new(), Vec::new(), reactor.now()),
             reactor,
-            scheduler: Scheduler::new(parse_site(SITE).unwrap(), 1),
         }
     }
 
     fn poll(&mut self, now: Time) {
-        self.discovery
-            .poll_watch(now, &mut self.reactor, &mut self.scheduler);
+        self.discovery.poll_watch(now, &mut self.reactor);
     }
 
     /// Polls, and gives the delay until the next connection.
@@ -52,7 +51,7 @@
     /// Lets connections call back until the present one has ended.
     fn run_until_disconnected(&mut self) {
         while !self.discovery.queue.borrow().disconnected {
-            self.reactor.poll(None, &mut self.scheduler).unwrap();
+            self.reactor.poll(None).unwrap();
         }
     }
 
@@ -61,11 +60,11 @@
     fn run_until_accepted(&mut self, listener: &TcpListener) -> (TcpStream, u64) {
         while self.reactor.has_connection(self.connection()) {
             let soon = self.reactor.now() + Span::from_millis(10);
-            self.reactor.poll(Some(soon), &mut self.scheduler).unwrap();
+            self.reactor.poll(Some(soon)).unwrap();
             if let Ok((mut stream, _)) = listener.accept() {
                 stream.set_nonblocking(false).unwrap();
                 stream.set_read_timeout(Some(SOCKET_TIMEOUT)).unwrap();
-                self.reactor.poll(Some(soon), &mut self.scheduler).unwrap();
+                self.reactor.poll(Some(soon)).unwrap();
                 let mut offset = [0; 8];
                 stream.read_exact(&mut offset).unwrap();
                 return (stream, u64::from_be_bytes(offset));
@@ -79,8 +78,7 @@
     }
 
     fn restart(&mut self, now: Time) {
-        self.discovery
-            .restart_watch(now, &mut self.reactor, &mut self.scheduler);
+        self.discovery.restart_watch(now, &mut self.reactor);
     }
 }
 
@@ -279,7 +277,7 @@
     let unreadable = vec![0; 8];
     stream.write_all(&[empty_delta(1), unreadable].concat()).unwrap();
     watch.run_until_disconnected();
-    assert_eq!(watch.scheduler.counters().decode_errors, 1);
+    assert_eq!(watch.reactor.shared.scheduler.counters().decode_errors, 1);
     assert_eq!(watch.discovery.last_offset(), 1, "what came before it is used");
 }
 
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -3,7 +3,8 @@
 use super::codec::{DecodeError, Frame, decode_frame};
 use super::event::WatchEvent;
 use crate::model::{Span, Time};
-use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
+use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow};
+use crate::runtime::{Context, RuntimeState};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -71,13 +72,13 @@
     }
 
     fn handle_undecodable(&self, error: DecodeError, context: &mut Context) -> ConnectionFlow {
-        context.scheduler.counters().decode_errors += 1;
+        context.shared.scheduler.counters().decode_errors += 1;
         warn!("bus unreadable why=\"{error}\"");
         ConnectionFlow::Close
     }
 }
 
-impl Connection for WatchConnection {
+impl Connection<RuntimeState> for WatchConnection {
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         self.silent_at = context.now + WATCH_SILENCE_TIMEOUT;
         socket.enqueue(&self.queue.borrow().last_offset.to_be_bytes());
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -1,5 +1,6 @@
 //! A client's connection that speaks binary frames over TCP.
 
+use super::client_connection::ClientConnection;
 use super::frame_codec::{
     Frame, FrameError, FrameHeader, FrameType, RequestError, decode_fields, decode_frame, decode_request,
     encode_frame, encode_readiness, encode_response,
@@ -8,9 +9,8 @@
 use super::limits::{MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES};
 use super::stream_ids::UsedStreamIds;
 use crate::model::{Span, StreamId, Time};
-use crate::net::{
-    BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
-};
+use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
+use crate::runtime::{Context, RuntimeState};
 use crate::scheduler::{Outcome, RequestOrigin, Response};
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
@@ -159,7 +159,7 @@
             Some(FrameType::Cancel) => self.handle_cancel(frame.stream, socket, context),
             Some(FrameType::ReadinessRequest) => {
                 decode_fields(frame.payload)?;
-                socket.enqueue(&encode_readiness(frame.stream, context.ready));
+                socket.enqueue(&encode_readiness(frame.stream, context.shared.ready));
             }
             _ => return Err(ProtocolError::UnexpectedType),
         }
@@ -186,13 +186,13 @@
             }
         };
         if self.sheds || self.open_streams.len() >= MAX_OPEN_REQUESTS {
-            let retry_after = context.scheduler.default_retry_after();
+            let retry_after = context.shared.scheduler.default_retry_after();
             respond_locally(stream, &Outcome::Rejected { retry_after }, socket, context);
             self.has_shed = self.sheds;
             return Ok(());
         }
         self.open_streams.insert(stream);
-        context.scheduler.submit(context.now, request);
+        context.shared.scheduler.submit(context.now, request);
         Ok(())
     }
 
@@ -228,14 +228,14 @@
         socket: &mut BufferedStream,
         context: &mut Context,
     ) -> ConnectionFlow {
-        context.scheduler.counters().client_connections_malformed += 1;
-        if context.scheduler.may_log(context.now) {
+        context.shared.scheduler.counters().client_connections_malformed += 1;
+        if context.shared.scheduler.may_log(context.now) {
             warn!(
                 "malformed front=frames connection={} why=\"{error}\"",
                 socket.id()
             );
         }
-        self.abandon(socket, context)
+        self.fail_open_requests(socket, context)
     }
 
     /// The open streams, which are none from now on.
@@ -298,13 +298,13 @@
 
 /// Responds to a request that is not passed to the scheduler.
 fn respond_locally(stream: u32, outcome: &Outcome, socket: &mut BufferedStream, context: &mut Context) {
-    context.scheduler.count_local_rejection(outcome);
+    context.shared.scheduler.count_local_rejection(outcome);
     socket.enqueue(&encode_response(stream, outcome));
 }
 
-impl Connection for FrameConnection {
+impl Connection<RuntimeState> for FrameConnection {
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        context.scheduler.counters().client_connections_accepted += 1;
+        context.shared.scheduler.counters().client_connections_accepted += 1;
         debug!("client accepted connection={}", socket.id());
         ConnectionFlow::Continue
     }
@@ -354,8 +354,24 @@
         }
     }
 
-    fn as_client(&mut self) -> Option<&mut dyn ClientConnection> {
-        Some(self)
+    fn is_client(&self) -> bool {
+        true
+    }
+
+    fn fail_open_requests(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
+        let streams = self.take_open_streams();
+        for stream in &streams {
+            socket.enqueue(&encode_response(frame_stream(*stream), &Outcome::Failed));
+        }
+        context
+            .shared
+            .scheduler
+            .counters()
+            .requests_failed_with_connection += streams.len() as u64;
+        cancel_requests(streams, socket, context);
+        socket.enqueue(&encode_response(CONNECTION_STREAM, &Outcome::Failed));
+        self.timers.begin_close(context.now);
+        ConnectionFlow::Finish
     }
 }
 
@@ -376,19 +392,7 @@
         ConnectionFlow::Continue
     }
 
-    fn abandon(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        let streams = self.take_open_streams();
-        for stream in &streams {
-            socket.enqueue(&encode_response(frame_stream(*stream), &Outcome::Failed));
-        }
-        context.scheduler.counters().requests_failed_with_connection += streams.len() as u64;
-        cancel_requests(streams, socket, context);
-        socket.enqueue(&encode_response(CONNECTION_STREAM, &Outcome::Failed));
-        self.timers.begin_close(context.now);
-        ConnectionFlow::Finish
-    }
-
-    fn request_leave(&mut self, socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn notify_draining(&mut self, socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
         if !self.sent_go_away {
             self.sent_go_away = true;
             socket.enqueue(&encode_frame(FrameType::GoAway, CONNECTION_STREAM, &[]));
--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -3,6 +3,7 @@
 //! A client that closes the connection, or the half it writes on, no longer waits: its calls are
 //! cancelled.
 
+use super::client_connection::ClientConnection;
 use super::jsonrpc_codec::{
     CallParams, Message, Request, RequestError, decode_line, encode_cancelled, encode_error,
     encode_readiness, encode_response,
@@ -10,9 +11,8 @@
 use super::lifecycle::{ConnectionTimers, PartialMessage, cancel_requests, end_requests};
 use super::limits::{MAX_OPEN_REQUESTS, MAX_UNSENT_BYTES};
 use crate::model::{Span, StreamId, Time};
-use crate::net::{
-    BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
-};
+use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
+use crate::runtime::{Context, RuntimeState};
 use crate::scheduler::{ClientRequest, Outcome, RequestOrigin, Response};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -106,14 +106,14 @@
 
     /// Reports to the client that a line can't be read.
     fn reject_line(&mut self, error: RequestError, socket: &mut BufferedStream, context: &mut Context) {
-        context.scheduler.counters().client_connections_malformed += 1;
+        context.shared.scheduler.counters().client_connections_malformed += 1;
         enqueue_line(&encode_error(&Value::Null, error), socket);
     }
 
     /// Reports to the client that its last line has no end; the connection ends once that has been written.
     fn fail_incomplete_line(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         self.reject_line(RequestError::IncompleteLine, socket, context);
-        self.abandon(socket, context)
+        self.fail_open_requests(socket, context)
     }
 
     fn handle_line(&mut self, line: &[u8], socket: &mut BufferedStream, context: &mut Context) {
@@ -151,11 +151,11 @@
         match request {
             Request::Ignored => {}
             Request::Invalid { id, error } => {
-                context.scheduler.counters().client_connections_malformed += 1;
+                context.shared.scheduler.counters().client_connections_malformed += 1;
                 self.respond(batch, encode_error(&id, error), socket);
             }
             Request::Ready { id } => {
-                let ready = context.ready && context.active;
+                let ready = context.shared.ready && context.shared.active;
                 self.respond(batch, encode_readiness(&id, ready), socket);
             }
             Request::Cancel { call } => self.handle_cancel(&call, socket, context),
@@ -185,7 +185,7 @@
         if self.open_call_stream(&id).is_some() {
             return self.respond(batch, encode_error(&id, RequestError::IdInUse), socket);
         }
-        if self.open_calls.len() >= MAX_OPEN_REQUESTS || !context.active {
+        if self.open_calls.len() >= MAX_OPEN_REQUESTS || !context.shared.active {
             return self.reject_call(&id, batch, socket, context);
         }
         let origin = RequestOrigin {
@@ -199,7 +199,7 @@
             correlation_id: correlation_id.unwrap_or_else(|| generated_correlation_id(origin)),
             parameters: params.into_request_parameters(context.input_since),
         };
-        context.scheduler.submit(context.now, request);
+        context.shared.scheduler.submit(context.now, request);
     }
 
     /// Rejects a call that is not passed to the scheduler.
@@ -210,9 +210,9 @@
         socket: &mut BufferedStream,
         context: &mut Context,
     ) {
-        let retry_after = context.scheduler.default_retry_after();
+        let retry_after = context.shared.scheduler.default_retry_after();
         let outcome = Outcome::Rejected { retry_after };
-        context.scheduler.count_local_rejection(&outcome);
+        context.shared.scheduler.count_local_rejection(&outcome);
         let response = Response {
             outcome,
             expired: false,
@@ -290,9 +290,9 @@
     socket.enqueue(&line);
 }
 
-impl Connection for JsonRpcConnection {
+impl Connection<RuntimeState> for JsonRpcConnection {
     fn opened(&mut self, _socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        context.scheduler.counters().client_connections_accepted += 1;
+        context.shared.scheduler.counters().client_connections_accepted += 1;
         ConnectionFlow::Continue
     }
 
@@ -343,8 +343,27 @@
         }
     }
 
-    fn as_client(&mut self) -> Option<&mut dyn ClientConnection> {
-        Some(self)
+    fn is_client(&self) -> bool {
+        true
+    }
+
+    fn fail_open_requests(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
+        let calls = std::mem::take(&mut self.open_calls);
+        context
+            .shared
+            .scheduler
+            .counters()
+            .requests_failed_with_connection += calls.len() as u64;
+        cancel_requests(calls.keys().copied(), socket, context);
+        let response = Response {
+            outcome: Outcome::Failed,
+            expired: false,
+        };
+        for call in calls.into_values() {
+            self.respond(call.batch, encode_response(&call.id, &response), socket);
+        }
+        self.timers.begin_close(context.now);
+        ConnectionFlow::Finish
     }
 }
 
@@ -362,19 +381,4 @@
         }
         ConnectionFlow::Continue
     }
-
-    fn abandon(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        let calls = std::mem::take(&mut self.open_calls);
-        context.scheduler.counters().requests_failed_with_connection += calls.len() as u64;
-        cancel_requests(calls.keys().copied(), socket, context);
-        let response = Response {
-            outcome: Outcome::Failed,
-            expired: false,
-        };
-        for call in calls.into_values() {
-            self.respond(call.batch, encode_response(&call.id, &response), socket);
-        }
-        self.timers.begin_close(context.now);
-        ConnectionFlow::Finish
-    }
 }
--- a/src/frontend/lifecycle.rs
+++ b/src/frontend/lifecycle.rs
@@ -2,7 +2,8 @@
 
 use super::limits::{LINGER_TIMEOUT, MESSAGE_TIMEOUT};
 use crate::model::{Span, StreamId, Time};
-use crate::net::{BufferedStream, CloseCause, Context};
+use crate::net::{BufferedStream, CloseCause};
+use crate::runtime::Context;
 use crate::scheduler::{RequestOrigin, Violation};
 use std::collections::BTreeSet;
 
@@ -114,6 +115,7 @@
         for stream in &streams {
             let ids = format_args!("connection={} stream={stream}", socket.id());
             context
+                .shared
                 .scheduler
                 .record_violation(context.now, Violation::UnansweredClose, ids);
         }
@@ -132,6 +134,6 @@
             connection: socket.id(),
             stream,
         };
-        context.scheduler.cancel(context.now, origin);
+        context.shared.scheduler.cancel(context.now, origin);
     }
 }
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -4,6 +4,7 @@
 //! Each protocol has a codec and, apart from it, a connection. Binary frames come over TCP, JSON-RPC over a
 //! Unix socket.
 
+mod client_connection;
 mod conversions;
 pub mod frame_codec;
 mod frame_connection;
@@ -14,5 +15,6 @@
 mod stream_ids;
 pub mod unix_socket;
 
+pub use client_connection::{deliver, notify_draining};
 pub use frame_connection::FrameConnection;
 pub use jsonrpc_connection::JsonRpcConnection;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,9 @@
 //! - [`config`] reads the platform's configuration, the site's settings and the operator's file.
 //! - [`frontend`] is what clients speak, [`backend`] what workers speak, and [`discovery`] follows the
 //!   endpoint list.
-//! - [`net`] has the reactor, buffered streams and the clock.
+//! - [`runtime`] joins the reactor with the state that all connections share: the scheduler above all.
+//! - [`net`] has the reactor, buffered streams and the clock. It names nothing of the scheduler, and the
+//!   scheduler nothing of it: they stand beside each other.
 //! - [`scheduler`] keeps the requests, attempts, load orders and timers, and carries out the policy's
 //!   actions. It has neither sockets nor a clock.
 //! - [`Policy`] takes the decisions. The types that it shares with the code around it are at the crate's
@@ -106,6 +108,7 @@
 mod model;
 pub mod net;
 mod policy;
+pub mod runtime;
 pub mod scheduler;
 pub mod server;
 pub mod simulator_codec;
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,8 +1,7 @@
 //! What the reactor asks of a connection, and what a connection may use while it is called back.
 
 use super::BufferedStream;
-use crate::model::{StreamId, Time};
-use crate::scheduler::{Response, Scheduler};
+use crate::model::Time;
 use std::any::Any;
 use std::io;
 use thiserror::Error;
@@ -42,8 +41,8 @@
     #[error("done")]
     Done,
     /// Its descriptor is needed.
-    #[error("room needed")]
-    RoomNeeded,
+    #[error("descriptor needed")]
+    DescriptorNeeded,
     /// The server has no more use for it.
     #[error("not needed")]
     NotNeeded,
@@ -62,45 +61,49 @@
     }
 }
 
+/// The state that all connections of a reactor share, as far as the reactor itself reports to it.
+pub trait SharedState {
+    /// A panic was caught in a callback of a connection.
+    fn panic_caught(&mut self);
+
+    /// The system refused to report a connection's events; it is asked again.
+    fn registration_failed(&mut self);
+}
+
 /// What a callback may use.
-pub struct Context<'a> {
-    /// The scheduler.
-    pub scheduler: &'a mut Scheduler,
+pub struct Context<'a, S> {
+    /// The state that all connections share.
+    pub shared: &'a mut S,
     /// The present time.
     pub now: Time,
     /// No input that is read in this call came before this time. It is before `now` where the process was busy or
     /// stopped, or where a client had to wait to be accepted: a request's time runs from when it came.
     pub input_since: Time,
-    /// Whether the scheduler takes requests.
-    pub ready: bool,
-    /// Whether this instance is the active VRRP router, and so takes requests over JSON-RPC; see
-    /// [`crate::vrrp`].
-    pub active: bool,
 }
 
 /// A connection that the reactor calls back with what happens to its stream.
 ///
 /// `Any` lets the code that added a connection of one type get at it again by that type, with
 /// [`Reactor::connection`](super::Reactor::connection).
-pub trait Connection: Any {
+pub trait Connection<S>: Any {
     /// The stream is connected.
-    fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow;
+    fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
     /// There is new input in the stream's buffer, or the peer has closed its half.
-    fn received(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow;
+    fn received(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
     /// Whether output that the system did not take at once may still go out. If not, the connection is closed.
-    fn may_write_rest(&self, _context: &mut Context) -> bool {
+    fn may_write_rest(&self, _context: &mut Context<S>) -> bool {
         true
     }
 
     /// All output has been handed to the system.
-    fn flushed(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn flushed(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
     /// The time given by [`Connection::deadline`] has come.
-    fn timer_expired(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn timer_expired(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
@@ -110,7 +113,7 @@
     }
 
     /// The connection has been closed, by whichever side. Called once.
-    fn closed(&mut self, socket: &BufferedStream, cause: CloseCause, context: &mut Context);
+    fn closed(&mut self, socket: &BufferedStream, cause: CloseCause, context: &mut Context<S>);
 
     /// Since when no request is open on the connection, so that it may be closed to free its descriptor; none
     /// while one is open.
@@ -118,29 +121,18 @@
         None
     }
 
-    /// The client's side of the connection, if a client is at the other end.
-    fn as_client(&mut self) -> Option<&mut dyn ClientConnection> {
-        None
+    /// Whether a client is at the other end. Asked once, when the connection is added.
+    fn is_client(&self) -> bool {
+        false
     }
-}
 
-/// A connection on which a client sends requests.
-pub trait ClientConnection {
-    /// Sends the response to the request of this stream.
-    fn deliver(
+    /// Fails every request that is open on the connection, because the connection can't go on: a callback has
+    /// panicked. A request that was read must not end with its connection.
+    fn fail_open_requests(
         &mut self,
-        stream: StreamId,
-        response: &Response,
-        socket: &mut BufferedStream,
-        context: &mut Context,
-    ) -> ConnectionFlow;
-
-    /// Gives every open request its final response now, because the connection can't go on. A request that was
-    /// read must not end with its connection.
-    fn abandon(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow;
-
-    /// Asks the client to send no new request on this connection, where the protocol has a message for that.
-    fn request_leave(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
-        ConnectionFlow::Continue
+        _socket: &mut BufferedStream,
+        _context: &mut Context<S>,
+    ) -> ConnectionFlow {
+        ConnectionFlow::Close
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,8 +3,8 @@
 //! The reactor waits for events of all sockets and timers at once and runs in one thread. What is spoken on a
 //! stream is up to the [`Connection`]s that the modules above add to it.
 //!
-//! This module is above [`scheduler`](crate::scheduler), which it hands to every callback and whose counter
-//! of panics it keeps, and below the modules that speak a protocol.
+//! What a connection works on besides its stream is a type parameter: the reactor owns a [`SharedState`] and
+//! lends it to every callback in a [`Context`]. So this module names none of the modules whose state that is.
 
 mod buffered_stream;
 mod clock;
@@ -14,6 +14,6 @@
 
 pub use buffered_stream::{BufferLimits, BufferedStream};
 pub use clock::SystemClock;
-pub use connection::{ClientConnection, CloseCause, Connection, ConnectionFlow, Context};
+pub use connection::{CloseCause, Connection, ConnectionFlow, Context, SharedState};
 pub use reactor::{ListenerId, PipeId, Reactor, ReactorEvent, UdpSocketId};
 pub use stream::Stream;
--- a/src/net/reactor/entry.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -2,7 +2,7 @@
 //! come.
 
 use crate::model::Time;
-use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
+use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow, Context, SharedState};
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use tracing::error;
@@ -14,9 +14,10 @@
 /// them is cut off, so that it doesn't keep the processor busy.
 const MAX_DISCARDED_INPUT: usize = 1 << 20;
 
-pub(super) struct Entry {
+/// A connection of the reactor.
+pub(super) struct ManagedConnection<S> {
     pub(super) stream: BufferedStream,
-    pub(super) connection: Box<dyn Connection>,
+    pub(super) connection: Box<dyn Connection<S>>,
     /// Since when the input that is being read may have waited, if that is longer than the last poll tells.
     pub(super) input_since: Option<Time>,
     /// A client is at the other end.
@@ -35,11 +36,11 @@
     pub(super) registers_at: Option<Time>,
 }
 
-impl Entry {
-    pub(super) fn new(stream: BufferedStream, mut connection: Box<dyn Connection>) -> Entry {
-        Entry {
+impl<S: SharedState + 'static> ManagedConnection<S> {
+    pub(super) fn new(stream: BufferedStream, connection: Box<dyn Connection<S>>) -> ManagedConnection<S> {
+        ManagedConnection {
             input_since: None,
-            is_client: connection.as_client().is_some(),
+            is_client: connection.is_client(),
             stream,
             connection,
             timer: None,
@@ -87,32 +88,31 @@
     /// responses that its client is owed.
     pub(super) fn call(
         &mut self,
-        context: &mut Context,
-        callback: impl FnOnce(&mut Entry, &mut Context) -> ConnectionFlow,
+        context: &mut Context<S>,
+        callback: impl FnOnce(&mut ManagedConnection<S>, &mut Context<S>) -> ConnectionFlow,
     ) -> ConnectionFlow {
         let flow = catch_unwind(AssertUnwindSafe(|| {
             let flow = callback(self, context);
             self.flush_output(flow, context)
         }));
         flow.unwrap_or_else(|_| {
-            context.scheduler.counters().panics += 1;
+            context.shared.panic_caught();
             error!("panic connection={} closed", self.stream.id());
-            self.abandon(context)
+            self.end_after_panic(context)
         })
     }
 
-    /// Ends the connection after a panic.
-    fn abandon(&mut self, context: &mut Context) -> ConnectionFlow {
-        let abandoned = catch_unwind(AssertUnwindSafe(|| {
-            let client = self.connection.as_client()?;
-            let flow = client.abandon(&mut self.stream, context);
-            Some(self.flush_output(flow, context))
+    /// Ends the connection after a panic, with what it still has to say to its client.
+    fn end_after_panic(&mut self, context: &mut Context<S>) -> ConnectionFlow {
+        let flow = catch_unwind(AssertUnwindSafe(|| {
+            let flow = self.connection.fail_open_requests(&mut self.stream, context);
+            self.flush_output(flow, context)
         }));
-        abandoned.ok().flatten().unwrap_or(ConnectionFlow::Close)
+        flow.unwrap_or(ConnectionFlow::Close)
     }
 
     /// Writes the output at once; a connection may add more whenever all of it has been written.
-    fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context) -> ConnectionFlow {
+    fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context<S>) -> ConnectionFlow {
         while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent() > 0 {
             if !self.connection.may_write_rest(context) {
                 self.set_close_cause(CloseCause::OutputLapsed);
@@ -131,7 +131,7 @@
     }
 
     /// Acts on what the system has reported of the stream.
-    pub(super) fn handle_event(&mut self, readable: bool, context: &mut Context) -> ConnectionFlow {
+    pub(super) fn handle_event(&mut self, readable: bool, context: &mut Context<S>) -> ConnectionFlow {
         self.try_handle_event(readable, context).unwrap_or_else(|error| {
             self.set_close_cause(CloseCause::Failed(error.kind()));
             ConnectionFlow::Close
@@ -142,7 +142,7 @@
     ///
     /// Whoever ends a connection for the time that has passed must not overlook the request, the answer or the
     /// established connect that lies there.
-    pub(super) fn handle_timer(&mut self, context: &mut Context) -> ConnectionFlow {
+    pub(super) fn handle_timer(&mut self, context: &mut Context<S>) -> ConnectionFlow {
         let flow = self.handle_event(true, context);
         if flow != ConnectionFlow::Continue {
             return flow;
@@ -150,7 +150,7 @@
         self.connection.timer_expired(&mut self.stream, context)
     }
 
-    fn try_handle_event(&mut self, readable: bool, context: &mut Context) -> io::Result<ConnectionFlow> {
+    fn try_handle_event(&mut self, readable: bool, context: &mut Context<S>) -> io::Result<ConnectionFlow> {
         if !self.stream.is_connected() {
             if !self.stream.check_connected()? {
                 return Ok(ConnectionFlow::Continue);
@@ -178,7 +178,11 @@
 
     /// Reads until the socket is empty, as edge-triggered events ask for, in turns with the connection's own
     /// work and with other connections.
-    fn read_input(&mut self, mut flow: ConnectionFlow, context: &mut Context) -> io::Result<ConnectionFlow> {
+    fn read_input(
+        &mut self,
+        mut flow: ConnectionFlow,
+        context: &mut Context<S>,
+    ) -> io::Result<ConnectionFlow> {
         let mut read_in_turn = 0;
         loop {
             let buffered = self.stream.input.len();
@@ -224,14 +228,14 @@
         flow == ConnectionFlow::Close || self.write_shut_down && self.stream.input_ended
     }
 
-    /// Tells the connection that it is closed.
-    pub(super) fn notify_closed(&mut self, context: &mut Context) {
+    /// Notifies the connection that it is closed.
+    pub(super) fn notify_closed(&mut self, context: &mut Context<S>) {
         let closed = catch_unwind(AssertUnwindSafe(|| {
             let cause = self.close_cause();
             self.connection.closed(&self.stream, cause, context);
         }));
         if closed.is_err() {
-            context.scheduler.counters().panics += 1;
+            context.shared.panic_caught();
         }
     }
 }
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,8 +1,8 @@
 //! The reactor: waits for events of all sockets and timers, and calls the connections back.
 
 mod connections;
-mod entry;
 mod listeners;
+mod managed_connection;
 mod pipes;
 #[cfg(test)]
 mod tests;
@@ -13,12 +13,11 @@
 pub use pipes::PipeId;
 pub use udp_sockets::UdpSocketId;
 
-use super::{Stream, SystemClock};
+use super::{SharedState, Stream, SystemClock};
 use crate::collections::TimerQueue;
 use crate::model::{ConnectionId, Span, Time};
-use crate::scheduler::Scheduler;
-use entry::Entry;
 use listeners::Listeners;
+use managed_connection::ManagedConnection;
 use mio::{Events, Poll};
 use pipes::Pipes;
 use std::collections::HashMap;
@@ -61,14 +60,18 @@
 }
 
 /// Waits for events of all sockets and timers, and calls the connections back. One thread does all of it.
-pub struct Reactor {
+///
+/// It owns the state `S` that its connections share, and lends it to each callback.
+pub struct Reactor<S> {
+    /// The state that all connections share.
+    pub shared: S,
     poll: Poll,
     events: Events,
     clock: SystemClock,
     listeners: Listeners,
     pipes: Pipes,
     udp_sockets: UdpSockets,
-    connections: HashMap<ConnectionId, Entry>,
+    connections: HashMap<ConnectionId, ManagedConnection<S>>,
     /// How many of the connections have a client at the other end.
     clients: usize,
     next_connection: ConnectionId,
@@ -84,20 +87,17 @@
     /// Beyond so many bytes of unsent output a connection that adds to it is closed, if its peer reads
     /// nothing.
     pub unsent_limit: usize,
-    /// Whether the scheduler takes requests; handed to every callback.
-    pub ready: bool,
-    /// Whether this instance is the active VRRP router; handed to every callback.
-    pub active: bool,
 }
 
-impl Reactor {
-    /// A reactor without connections, not ready but active.
+impl<S: SharedState + 'static> Reactor<S> {
+    /// A reactor without connections, with the state that they are to share.
     ///
     /// # Errors
     ///
     /// The system's error where it has no further poll to give.
-    pub fn new(clock: SystemClock) -> io::Result<Reactor> {
+    pub fn new(clock: SystemClock, shared: S) -> io::Result<Reactor<S>> {
         Ok(Reactor {
+            shared,
             poll: Poll::new()?,
             events: Events::with_capacity(EVENT_CAPACITY),
             clock,
@@ -113,8 +113,6 @@
             input_since: clock.now(),
             unsent: 0,
             unsent_limit: usize::MAX,
-            ready: false,
-            active: true,
         })
     }
 
@@ -216,16 +214,16 @@
     /// # Errors
     ///
     /// The system's error where it can't be polled any more.
-    pub fn poll(&mut self, until: Option<Time>, scheduler: &mut Scheduler) -> io::Result<Vec<ReactorEvent>> {
+    pub fn poll(&mut self, until: Option<Time>) -> io::Result<Vec<ReactorEvent>> {
         self.last_poll_was_empty = false;
         let was_polled = self.wait(until)?;
         let ready = self.ready_sources();
         self.last_poll_was_empty = was_polled && ready.is_empty();
         let events = ready
             .into_iter()
-            .filter_map(|ready| self.dispatch(ready, scheduler))
+            .filter_map(|ready| self.dispatch(ready))
             .collect();
-        self.fire_timers(scheduler);
+        self.fire_timers();
         Ok(events)
     }
 
@@ -280,7 +278,7 @@
             .collect()
     }
 
-    fn dispatch(&mut self, ready: ReadySource, scheduler: &mut Scheduler) -> Option<ReactorEvent> {
+    fn dispatch(&mut self, ready: ReadySource) -> Option<ReactorEvent> {
         match ready.source {
             EventSource::Listener(listener) => Some(ReactorEvent::ClientWaiting(listener)),
             EventSource::UdpSocket(socket) => Some(ReactorEvent::DatagramWaiting(socket)),
@@ -289,8 +287,8 @@
                 Some(ReactorEvent::PipeReadable(pipe))
             }
             EventSource::Connection(id) => {
-                self.call(id, scheduler, |entry, context| {
-                    entry.handle_event(ready.readable, context)
+                self.call(id, |connection, context| {
+                    connection.handle_event(ready.readable, context)
                 });
                 None
             }
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,32 +1,40 @@
 use super::*;
-use crate::model::StreamId;
-use crate::net::{
-    BufferLimits, BufferedStream, ClientConnection, CloseCause, Connection, ConnectionFlow, Context,
-};
-use crate::scheduler::Response;
+use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
 use std::io::{Read, Write};
 
-/// A site without classes, for tests that send no request.
-const SITE: &[u8] = br#"{"fleetSize": 1, "index": 0, "classes": [], "bounds": {"mostTries": 1},
-    "contract": {"coldFrom": 1, "coldNs": 1, "fallMultiple": 1, "fallNs": 1},
-    "familyInfo": {"keepNs": 1, "notLoaded": "load", "loadSpanNs": 0}}"#;
+/// Shared state that only counts what the reactor reports.
+#[derive(Default)]
+struct Reports {
+    panics: u32,
+    failed_registrations: u32,
+}
+
+impl SharedState for Reports {
+    fn panic_caught(&mut self) {
+        self.panics += 1;
+    }
+
+    fn registration_failed(&mut self) {
+        self.failed_registrations += 1;
+    }
+}
 
 /// Echoes its input, and panics at an `!`.
 struct PanickingEcho;
 
-impl Connection for PanickingEcho {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+impl Connection<Reports> for PanickingEcho {
+    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         let bytes = std::mem::take(&mut socket.input);
         assert!(!bytes.contains(&b'!'), "as the test wants");
         socket.enqueue(&bytes);
         ConnectionFlow::Continue
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
 }
 
 /// Echoes its input, is idle from its start on, and closes when its time has come unless input has come before.
@@ -34,19 +42,23 @@
     closes_at: Option<Time>,
 }
 
-impl Connection for ClosingEcho {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+impl Connection<Reports> for ClosingEcho {
+    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         let bytes = std::mem::take(&mut socket.input);
         socket.enqueue(&bytes);
         self.closes_at = None;
         ConnectionFlow::Continue
     }
 
-    fn timer_expired(&mut self, _socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
+    fn timer_expired(
+        &mut self,
+        _socket: &mut BufferedStream,
+        context: &mut Context<Reports>,
+    ) -> ConnectionFlow {
         match self.closes_at {
             Some(time) if time <= context.now => ConnectionFlow::Close,
             _ => ConnectionFlow::Continue,
@@ -57,7 +69,7 @@
         self.closes_at
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
 
     fn idle_since(&self) -> Option<Time> {
         self.closes_at
@@ -67,82 +79,68 @@
 /// A client's connection that panics at any input, with something left to say to its client.
 struct PanickingClient;
 
-impl Connection for PanickingClient {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+impl Connection<Reports> for PanickingClient {
+    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, _socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
+    fn received(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
         panic!("as the test wants");
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
 
-    fn as_client(&mut self) -> Option<&mut dyn ClientConnection> {
-        Some(self)
+    fn is_client(&self) -> bool {
+        true
     }
-}
 
-impl ClientConnection for PanickingClient {
-    fn deliver(
+    fn fail_open_requests(
         &mut self,
-        _: StreamId,
-        _: &Response,
-        _: &mut BufferedStream,
-        _: &mut Context,
+        socket: &mut BufferedStream,
+        _context: &mut Context<Reports>,
     ) -> ConnectionFlow {
-        ConnectionFlow::Continue
-    }
-
-    fn abandon(&mut self, socket: &mut BufferedStream, _context: &mut Context) -> ConnectionFlow {
         socket.enqueue(b"failed");
         ConnectionFlow::Finish
     }
 }
 
-fn scheduler() -> Scheduler {
-    Scheduler::new(crate::config::parse_site(SITE).unwrap(), 1)
+fn reactor() -> Reactor<Reports> {
+    Reactor::new(SystemClock::new(), Reports::default()).unwrap()
 }
 
 /// Adds a connection; its id, and the other end of its stream.
 fn add(
-    connection: impl Connection,
-    reactor: &mut Reactor,
+    connection: impl Connection<Reports>,
+    reactor: &mut Reactor<Reports>,
     limits: BufferLimits,
-    scheduler: &mut Scheduler,
 ) -> (ConnectionId, UnixStream) {
     let (near, far) = UnixStream::pair().unwrap();
     near.set_nonblocking(true).unwrap();
     let stream = Stream::Unix(mio::net::UnixStream::from_std(near));
-    let id = reactor.add_connected(stream, Box::new(connection), limits, scheduler);
+    let id = reactor.add_connected(stream, Box::new(connection), limits);
     (id.unwrap(), far)
 }
 
-fn add_echo(
-    reactor: &mut Reactor,
-    limits: BufferLimits,
-    scheduler: &mut Scheduler,
-) -> (ConnectionId, UnixStream) {
-    add(PanickingEcho, reactor, limits, scheduler)
+fn add_echo(reactor: &mut Reactor<Reports>, limits: BufferLimits) -> (ConnectionId, UnixStream) {
+    add(PanickingEcho, reactor, limits)
 }
 
 /// Input may come after the last poll: a connection that is closed with input on it takes a request along.
 #[test]
 fn a_connection_on_which_input_waits_is_not_closed_as_idle() {
-    let mut scheduler = scheduler();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
+    let mut reactor = reactor();
     let limits = BufferLimits {
         input: 100,
         output: 100,
     };
     let closes_at = Some(reactor.now());
-    let (_, mut timed) = add(ClosingEcho { closes_at }, &mut reactor, limits, &mut scheduler);
+    let (_, mut timed) = add(ClosingEcho { closes_at }, &mut reactor, limits);
     timed.write_all(b"x").unwrap();
-    reactor.fire_timers(&mut scheduler);
+    reactor.fire_timers();
     assert_eq!(reactor.connection_count(), 1, "its timer closed it");
-    let (_, mut idle) = add(ClosingEcho { closes_at }, &mut reactor, limits, &mut scheduler);
+    let (_, mut idle) = add(ClosingEcho { closes_at }, &mut reactor, limits);
     idle.write_all(b"y").unwrap();
-    assert!(!reactor.close_longest_idle(&mut scheduler), "closed to make room");
+    assert!(!reactor.close_longest_idle(), "closed to make room");
     for (mut far, expected) in [(timed, b'x'), (idle, b'y')] {
         let mut byte = [0];
         far.read_exact(&mut byte).unwrap();
@@ -153,16 +151,15 @@
 /// A peer that reads nothing must not hold memory without bound.
 #[test]
 fn output_beyond_the_limit_closes_the_connection_that_adds_to_it() {
-    let mut scheduler = scheduler();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
+    let mut reactor = reactor();
     reactor.unsent_limit = 8 << 20;
     let limits = BufferLimits {
         input: 100,
         output: usize::MAX,
     };
-    let (id, _far) = add_echo(&mut reactor, limits, &mut scheduler);
+    let (id, _far) = add_echo(&mut reactor, limits);
     let mut enqueue = |bytes: usize| {
-        reactor.with_connection(id, &mut scheduler, |_, socket, _| {
+        reactor.with_connection(id, |_, socket, _| {
             socket.enqueue(&vec![0; bytes]);
             ConnectionFlow::Continue
         });
@@ -174,43 +171,42 @@
 
 #[test]
 fn a_panic_closes_its_connection_and_no_other() {
-    let mut scheduler = scheduler();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
+    let mut reactor = reactor();
     let limits = BufferLimits {
         input: 100,
         output: 100,
     };
-    let (_, mut first) = add_echo(&mut reactor, limits, &mut scheduler);
-    let (_, mut second) = add_echo(&mut reactor, limits, &mut scheduler);
+    let (_, mut first) = add_echo(&mut reactor, limits);
+    let (_, mut second) = add_echo(&mut reactor, limits);
     first.write_all(b"!").unwrap();
     second.write_all(b"x").unwrap();
-    while scheduler.counters().panics == 0 || reactor.connection_count() > 1 {
-        reactor.poll(None, &mut scheduler).unwrap();
+    while reactor.shared.panics == 0 || reactor.connection_count() > 1 {
+        reactor.poll(None).unwrap();
     }
     let mut byte = [0];
     assert_eq!(first.read(&mut byte).unwrap(), 0, "closed");
     let soon = Some(reactor.now() + Span::from_millis(100));
-    reactor.poll(soon, &mut scheduler).unwrap();
+    reactor.poll(soon).unwrap();
     second.read_exact(&mut byte).unwrap();
     assert_eq!(byte, [b'x']);
-    assert_eq!(scheduler.counters().panics, 1);
+    assert_eq!(reactor.shared.panics, 1);
+    assert_eq!(reactor.shared.failed_registrations, 0);
 }
 
 #[test]
 fn a_client_has_its_responses_before_a_panic_ends_its_connection() {
-    let mut scheduler = scheduler();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
+    let mut reactor = reactor();
     let limits = BufferLimits {
         input: 100,
         output: 100,
     };
-    let (_, mut far) = add(PanickingClient, &mut reactor, limits, &mut scheduler);
+    let (_, mut far) = add(PanickingClient, &mut reactor, limits);
     far.write_all(b"x").unwrap();
-    reactor.poll(None, &mut scheduler).unwrap();
+    reactor.poll(None).unwrap();
     let mut response = Vec::new();
     far.read_to_end(&mut response).unwrap();
     assert_eq!(response, b"failed");
-    assert_eq!(scheduler.counters().panics, 1);
+    assert_eq!(reactor.shared.panics, 1);
 }
 
 #[test]
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -5,8 +5,8 @@
 use crate::frontend::unix_socket::{self, SocketFile};
 use crate::frontend::{FrameConnection, JsonRpcConnection};
 use crate::model::{ConnectionId, Span, Time};
-use crate::net::{ListenerId, Reactor, Stream};
-use crate::scheduler::Scheduler;
+use crate::net::{ListenerId, Stream};
+use crate::runtime::Reactor;
 use std::collections::BTreeSet;
 use std::io;
 use tracing::warn;
@@ -128,22 +128,22 @@
     }
 
     /// Accepts from all listeners once the delay after a failure has passed.
-    pub(super) fn retry(&mut self, now: Time, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub(super) fn retry(&mut self, now: Time, reactor: &mut Reactor) {
         if self.retry_at.take_if(|at| *at <= now).is_none() {
             return;
         }
         for listener in reactor.listener_ids() {
-            self.accept(listener, reactor, scheduler);
+            self.accept(listener, reactor);
         }
     }
 
     /// Accepts all clients that wait at a listener. A client that has been accepted may have sent a request, so that
     /// it is not dropped for want of descriptors: it is only accepted while there is one to reject it with.
-    pub(super) fn accept(&mut self, listener: ListenerId, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub(super) fn accept(&mut self, listener: ListenerId, reactor: &mut Reactor) {
         let mut failures = 0;
         loop {
-            if !self.may_accept(reactor, scheduler) {
-                return self.schedule_retry("no descriptors left", reactor.now(), scheduler);
+            if !self.may_accept(reactor) {
+                return self.schedule_retry("no descriptors left", reactor);
             }
             match reactor.accept(listener) {
                 Ok(None) => {
@@ -152,114 +152,99 @@
                 }
                 Ok(Some(stream)) => {
                     failures = 0;
-                    self.add_client(listener, stream, reactor, scheduler);
+                    self.add_client(listener, stream, reactor);
                 }
                 // What fails now and then, or concerns one client alone, must not cost each client that waits a pause;
                 // nor may it keep the event loop here.
                 Err(_) if failures < MAX_FAILURES => failures += 1,
                 Err(error) => {
-                    return self.schedule_retry(&error.to_string(), reactor.now(), scheduler);
+                    return self.schedule_retry(&error.to_string(), reactor);
                 }
             }
         }
     }
 
     /// Whether a further client can be accepted at all, be it to be rejected.
-    fn may_accept(&self, reactor: &mut Reactor, scheduler: &mut Scheduler) -> bool {
-        reactor.connection_count() < self.limits.shedding || reactor.close_longest_idle(scheduler)
+    fn may_accept(&self, reactor: &mut Reactor) -> bool {
+        reactor.connection_count() < self.limits.shedding || reactor.close_longest_idle()
     }
 
     /// Whether a client that has just been accepted can be served: it is one of the guaranteed, or there is room, if
     /// need be in place of an idle connection.
-    fn may_serve(&self, reactor: &mut Reactor, scheduler: &mut Scheduler) -> bool {
+    fn may_serve(&self, reactor: &mut Reactor) -> bool {
         reactor.client_count() < self.limits.guaranteed
             || reactor.connection_count() < self.limits.connections
-            || reactor.close_longest_idle(scheduler)
+            || reactor.close_longest_idle()
     }
 
-    fn schedule_retry(&mut self, cause: &str, now: Time, scheduler: &mut Scheduler) {
-        if scheduler.may_log(now) {
+    fn schedule_retry(&mut self, cause: &str, reactor: &mut Reactor) {
+        let now = reactor.now();
+        if reactor.shared.scheduler.may_log(now) {
             warn!("accept failed why=\"{cause}\"");
         }
         self.blocked_since.get_or_insert(now);
         self.retry_at = Some(now + RETRY_DELAY);
     }
 
-    fn add_client(
-        &mut self,
-        listener: ListenerId,
-        stream: Stream,
-        reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
-    ) {
+    fn add_client(&mut self, listener: ListenerId, stream: Stream, reactor: &mut Reactor) {
         if self
             .jsonrpc
             .as_ref()
             .is_some_and(|jsonrpc| jsonrpc.listener == listener)
         {
-            self.add_jsonrpc_client(stream, reactor, scheduler);
+            self.add_jsonrpc_client(stream, reactor);
         } else {
-            self.add_frame_client(stream, reactor, scheduler);
+            self.add_frame_client(stream, reactor);
         }
     }
 
-    fn add_frame_client(&self, stream: Stream, reactor: &mut Reactor, scheduler: &mut Scheduler) {
-        let connection = if self.may_serve(reactor, scheduler) {
+    fn add_frame_client(&self, stream: Stream, reactor: &mut Reactor) {
+        let connection = if self.may_serve(reactor) {
             FrameConnection::new(reactor.now())
         } else {
-            scheduler.counters().clients_shed += 1;
+            reactor.shared.scheduler.counters().clients_shed += 1;
             FrameConnection::shedding(reactor.now())
         };
         let limits = FrameConnection::buffer_limits();
-        let client = reactor.add_connected(stream, Box::new(connection), limits, scheduler);
-        self.read_waiting_input(client, reactor, scheduler);
+        let client = reactor.add_connected(stream, Box::new(connection), limits);
+        self.read_waiting_input(client, reactor);
     }
 
     /// What a client has sent while it waited to be accepted has less time left.
-    fn read_waiting_input(
-        &self,
-        client: Option<ConnectionId>,
-        reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
-    ) {
+    fn read_waiting_input(&self, client: Option<ConnectionId>, reactor: &mut Reactor) {
         if let (Some(client), Some(since)) = (client, self.blocked_since) {
-            reactor.read_waiting_input(client, since, scheduler);
+            reactor.read_waiting_input(client, since);
         }
     }
 
-    fn add_jsonrpc_client(&mut self, stream: Stream, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    fn add_jsonrpc_client(&mut self, stream: Stream, reactor: &mut Reactor) {
         let Some(jsonrpc) = &self.jsonrpc else {
             return;
         };
         let max_line = jsonrpc.config.max_line_bytes;
         let max_clients = jsonrpc.config.max_clients;
         let now = reactor.now();
-        if !self.make_room_for_jsonrpc_client(max_clients, reactor, scheduler) {
-            if scheduler.may_log(now) {
+        if !self.make_room_for_jsonrpc_client(max_clients, reactor) {
+            if reactor.shared.scheduler.may_log(now) {
                 warn!("accept dropped why=max_clients");
             }
             return;
         }
         let connection = Box::new(JsonRpcConnection::new(now, max_line));
         let limits = JsonRpcConnection::buffer_limits(max_line);
-        let client = reactor.add_connected(stream, connection, limits, scheduler);
-        self.read_waiting_input(client, reactor, scheduler);
+        let client = reactor.add_connected(stream, connection, limits);
+        self.read_waiting_input(client, reactor);
         self.jsonrpc_clients.extend(client);
     }
 
     /// Closes the JSON-RPC client that has been idle for longest if there are as many as allowed; false if
     /// none is idle.
-    fn make_room_for_jsonrpc_client(
-        &mut self,
-        max_clients: usize,
-        reactor: &mut Reactor,
-        scheduler: &mut Scheduler,
-    ) -> bool {
+    fn make_room_for_jsonrpc_client(&mut self, max_clients: usize, reactor: &mut Reactor) -> bool {
         self.jsonrpc_clients
             .retain(|client| reactor.has_connection(*client));
         if self.jsonrpc_clients.len() >= max_clients
             && let Some(idle) = self.longest_idle_jsonrpc_client(reactor)
-            && reactor.close_if_idle(idle, scheduler)
+            && reactor.close_if_idle(idle)
         {
             self.jsonrpc_clients.remove(&idle);
         }
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -13,8 +13,7 @@
         while let Some(change) = self.discovery.next_change() {
             self.apply_endpoint_change(now, change);
         }
-        self.discovery
-            .poll_watch(now, &mut self.reactor, &mut self.scheduler);
+        self.discovery.poll_watch(now, &mut self.reactor);
     }
 
     /// Makes the statically configured workers known at the start.
@@ -30,8 +29,7 @@
         self.poll_discovery(now);
         self.discovery.offer_known(known);
         if moved {
-            self.discovery
-                .restart_watch(now, &mut self.reactor, &mut self.scheduler);
+            self.discovery.restart_watch(now, &mut self.reactor);
         }
     }
 
@@ -53,7 +51,9 @@
         for address_change in change.address_changes {
             self.apply_address_change(address_change);
         }
-        self.scheduler
+        self.reactor
+            .shared
+            .scheduler
             .update_endpoints(now, change.kind, change.endpoints);
     }
 
--- a/src/server/leader.rs
+++ b/src/server/leader.rs
@@ -5,8 +5,8 @@
 
 use crate::config::VrrpConfig;
 use crate::model::Time;
-use crate::net::{Reactor, UdpSocketId};
-use crate::scheduler::Scheduler;
+use crate::net::UdpSocketId;
+use crate::runtime::Reactor;
 use crate::vrrp::packet::{self, Advertisement, DecodeError, MAX_MESSAGE_LENGTH};
 use crate::vrrp::{self, Event, State, StateMachine};
 use std::io;
@@ -71,7 +71,7 @@
             self.advertise(advertisement.priority, reactor);
         }
         let state = self.state_machine.state();
-        reactor.active = state == State::Active;
+        reactor.shared.active = state == State::Active;
         if state != previous {
             let virtual_router_id = self.config.virtual_router_id;
             info!("vrrp vrid={virtual_router_id} state={state:?} was={previous:?}");
@@ -80,7 +80,7 @@
 
     /// Reads the datagrams that have arrived. What is no advertisement of this virtual router is dropped and
     /// counted.
-    pub(super) fn receive(&mut self, socket: UdpSocketId, reactor: &mut Reactor, scheduler: &mut Scheduler) {
+    pub(super) fn receive(&mut self, socket: UdpSocketId, reactor: &mut Reactor) {
         // One byte more than the longest message, so that a longer one is not taken for it.
         let mut buffer = [0; MAX_MESSAGE_LENGTH + 1];
         while let Some((length, sender)) = reactor.receive_datagram(socket, &mut buffer) {
@@ -93,10 +93,12 @@
                     };
                     self.handle(event, reactor);
                 }
-                Ok(_) => scheduler.counters().vrrp_advertisements_dropped += 1,
+                Ok(_) => reactor.shared.scheduler.counters().vrrp_advertisements_dropped += 1,
                 Err(error) => {
+                    let now = reactor.now();
+                    let scheduler = &mut reactor.shared.scheduler;
                     scheduler.counters().vrrp_advertisements_dropped += 1;
-                    if scheduler.may_log(reactor.now()) {
+                    if scheduler.may_log(now) {
                         warn!("vrrp dropped from={sender} why=\"{error}\"");
                     }
                 }
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -3,8 +3,7 @@
 use crate::backend;
 use crate::config::SchedulerConfig;
 use crate::model::Span;
-use crate::net::Reactor;
-use crate::scheduler::Scheduler;
+use crate::runtime::Reactor;
 
 /// Descriptors kept for the poll, the listeners, the pipes, the watch and the standard streams.
 const RESERVED_DESCRIPTORS: usize = 32;
@@ -21,9 +20,9 @@
 const CONNECT_TIMEOUT_ALLOWANCE: Span = Span::from_millis(50);
 
 /// Limits the memory for the bodies of open requests, and that for output which waits to be sent.
-pub(super) fn limit_memory(config: &SchedulerConfig, scheduler: &mut Scheduler, reactor: &mut Reactor) {
+pub(super) fn limit_memory(config: &SchedulerConfig, reactor: &mut Reactor) {
     let memory_bytes = config.memory_mb * BYTES_PER_MEGABYTE;
-    scheduler.set_memory_limit(memory_bytes);
+    reactor.shared.scheduler.set_memory_limit(memory_bytes);
     reactor.unsent_limit = memory_bytes / UNSENT_OUTPUT_DIVISOR;
 }
 
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -25,10 +25,12 @@
 use crate::backend::Pool;
 use crate::config::{ConfigSources, SchedulerConfig};
 use crate::discovery::Discovery;
+use crate::frontend;
 use crate::logging;
 use crate::model::Time;
-use crate::net::{PipeId, Reactor, ReactorEvent, UdpSocketId};
-use crate::scheduler::{Command, RequestOrigin, Response, Scheduler};
+use crate::net::{PipeId, ReactorEvent, UdpSocketId};
+use crate::runtime::Reactor;
+use crate::scheduler::Command;
 use crate::vrrp::Event;
 use accept::Acceptor;
 use leader::LeaderElection;
@@ -54,7 +56,7 @@
 struct Server {
     /// The files that a reload reads.
     sources: ConfigSources,
-    scheduler: Scheduler,
+    /// Owns the scheduler, which its connections share.
     reactor: Reactor,
     pool: Pool,
     /// The platform's configuration in use, its events taken out.
@@ -82,7 +84,7 @@
     fn begin_serving(&mut self) {
         self.apply_initial_endpoints();
         self.run_due_work();
-        self.reactor.ready = true;
+        self.reactor.shared.ready = true;
         self.update_leader(Event::Startup);
         info!(
             "serving name={} listen={} offset={}",
@@ -95,15 +97,12 @@
     /// One turn of the event loop; true once a shutdown is complete.
     fn turn(&mut self) -> Result<bool, ServerError> {
         let deadline = self.next_timer();
-        let events = self
-            .reactor
-            .poll(deadline, &mut self.scheduler)
-            .map_err(ServerError::Poll)?;
+        let events = self.reactor.poll(deadline).map_err(ServerError::Poll)?;
         for event in events {
             self.contain("event", |server| server.handle_event(event));
         }
         let now = self.reactor.now();
-        self.acceptor.retry(now, &mut self.reactor, &mut self.scheduler);
+        self.acceptor.retry(now, &mut self.reactor);
         self.retry_reload(now);
         self.update_leader(Event::TimerExpired);
         self.run_due_work();
@@ -114,7 +113,7 @@
     fn next_timer(&self) -> Option<Time> {
         let election_timer = self.leader_election.as_ref().and_then(LeaderElection::next_timer);
         let timers = [
-            self.scheduler.next_timer(),
+            self.reactor.shared.scheduler.next_timer(),
             self.discovery.next_timer(),
             self.acceptor.next_timer(),
             self.shutdown_timer(),
@@ -127,8 +126,7 @@
     fn handle_event(&mut self, event: ReactorEvent) {
         match event {
             ReactorEvent::ClientWaiting(listener) => {
-                self.acceptor
-                    .accept(listener, &mut self.reactor, &mut self.scheduler);
+                self.acceptor.accept(listener, &mut self.reactor);
             }
             ReactorEvent::PipeReadable(pipe) => self.handle_signal(pipe),
             ReactorEvent::DatagramWaiting(socket) => self.receive_advertisements(socket),
@@ -147,7 +145,7 @@
     fn print_counters(&mut self) {
         info!(
             "{} log_lines_dropped={} log_lines_failed={}",
-            self.scheduler.counters(),
+            self.reactor.shared.scheduler.counters(),
             logging::log_lines_dropped(),
             logging::log_lines_failed()
         );
@@ -155,7 +153,7 @@
 
     fn receive_advertisements(&mut self, socket: UdpSocketId) {
         if let Some(election) = &mut self.leader_election {
-            election.receive(socket, &mut self.reactor, &mut self.scheduler);
+            election.receive(socket, &mut self.reactor);
         }
     }
 
@@ -170,37 +168,29 @@
     fn run_due_work(&mut self) {
         let now = self.reactor.now();
         self.contain("discovery", |server| server.poll_discovery(now));
-        if self.scheduler.next_timer().is_some_and(|at| at <= now) {
-            self.contain("timer", |server| server.scheduler.fire_timers(now));
+        let scheduler_timer = self.reactor.shared.scheduler.next_timer();
+        if scheduler_timer.is_some_and(|at| at <= now) {
+            self.contain("timer", |server| server.reactor.shared.scheduler.fire_timers(now));
         }
-        while let Some(command) = self.scheduler.next_command() {
+        while let Some(command) = self.reactor.shared.scheduler.next_command() {
             self.contain("command", |server| server.execute(command));
         }
-        self.pool.forget_ended(&self.scheduler);
+        self.pool.forget_ended(&self.reactor.shared.scheduler);
     }
 
     /// Does a part of the work. A panic there concerns no connection that could be closed for it; what it leaves
     /// undone is ended by the requests' deadlines.
     fn contain(&mut self, part: &str, work: impl FnOnce(&mut Server)) {
         if catch_unwind(AssertUnwindSafe(|| work(self))).is_err() {
-            self.scheduler.counters().panics += 1;
+            self.reactor.shared.scheduler.counters().panics += 1;
             error!("panic part={part}");
         }
     }
 
     fn execute(&mut self, command: Command) {
         match command {
-            Command::Respond { origin, response } => self.respond(origin, &response),
-            command => self.pool.command(command, &mut self.reactor, &mut self.scheduler),
+            Command::Respond { origin, response } => frontend::deliver(origin, &response, &mut self.reactor),
+            command => self.pool.command(command, &mut self.reactor),
         }
     }
-
-    /// Hands a response to the client's connection, if that still exists.
-    fn respond(&mut self, origin: RequestOrigin, response: &Response) {
-        self.reactor.with_client(
-            origin.connection,
-            &mut self.scheduler,
-            |client, socket, context| client.deliver(origin.stream, response, socket, context),
-        );
-    }
 }
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -186,7 +186,10 @@
         let now = self.reactor.now();
         let known = std::mem::take(&mut config.known_events);
         self.config = config;
-        self.scheduler.reconfigure(now, self.config.site.clone());
+        self.reactor
+            .shared
+            .scheduler
+            .reconfigure(now, self.config.site.clone());
         self.apply_limits();
         self.set_configured_workers(now, &operator);
         self.reload_discovery(now, known);
@@ -195,9 +198,8 @@
 
     fn apply_limits(&mut self) {
         let worker_limits = limits::worker_limits(&self.config);
-        self.pool
-            .configure(worker_limits, &mut self.reactor, &mut self.scheduler);
-        limits::limit_memory(&self.config, &mut self.scheduler, &mut self.reactor);
+        self.pool.configure(worker_limits, &mut self.reactor);
+        limits::limit_memory(&self.config, &mut self.reactor);
         self.acceptor.set_limits(limits::client_limits(&self.config));
     }
 
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -6,6 +6,7 @@
 //! time has run out.
 
 use super::Server;
+use crate::frontend;
 use crate::model::{Span, Time};
 use crate::vrrp::Event;
 use tracing::info;
@@ -136,22 +137,12 @@
         info!(
             "ending name={} owed={}",
             self.config.name,
-            self.scheduler.open_requests()
+            self.reactor.shared.scheduler.open_requests()
         );
         self.shutdown = Some(Shutdown::new(self.reactor.now()));
-        self.reactor.ready = false;
+        self.reactor.shared.ready = false;
         self.update_leader(Event::Shutdown);
-        self.notify_clients();
-    }
-
-    /// Asks all clients to send no new requests on their connections.
-    fn notify_clients(&mut self) {
-        for connection in self.reactor.connection_ids() {
-            self.reactor
-                .with_client(connection, &mut self.scheduler, |client, socket, context| {
-                    client.request_leave(socket, context)
-                });
-        }
+        frontend::notify_draining(&mut self.reactor);
     }
 
     /// When [`Server::advance_shutdown`] has something to do although nothing else happens.
@@ -164,11 +155,14 @@
     pub(super) fn advance_shutdown(&mut self) -> bool {
         let now = self.reactor.now();
         while let Some(phase) = self.enter_next_shutdown_phase(now) {
-            info!("shutdown phase={phase:?} owed={}", self.scheduler.open_requests());
+            info!(
+                "shutdown phase={phase:?} owed={}",
+                self.reactor.shared.scheduler.open_requests()
+            );
             match phase {
                 ShutdownPhase::LateRequests => {
                     self.limit_late_requests();
-                    self.notify_clients();
+                    frontend::notify_draining(&mut self.reactor);
                 }
                 ShutdownPhase::Complete => return true,
                 ShutdownPhase::LateConnections | ShutdownPhase::Draining | ShutdownPhase::Flushing { .. } => {
@@ -184,17 +178,17 @@
         let Some(shutdown) = &self.shutdown else {
             return;
         };
-        let classes = &self.scheduler.site().settings.classes;
+        let classes = &self.reactor.shared.scheduler.site().settings.classes;
         let deadlines = classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or_default().max(MIN_LONGEST_DEADLINE);
         let ends_at = shutdown.began_at + longest + LATE_REQUESTS_END;
-        self.scheduler.end_requests_by(ends_at);
+        self.reactor.shared.scheduler.end_requests_by(ends_at);
     }
 
     fn enter_next_shutdown_phase(&mut self, now: Time) -> Option<ShutdownPhase> {
         let shutdown = self.shutdown.as_mut()?;
         let activity = Activity {
-            open_requests: self.scheduler.open_requests(),
+            open_requests: self.reactor.shared.scheduler.open_requests(),
             has_unsent_output: self.reactor.has_unsent_output(),
             last_poll_was_empty: self.reactor.last_poll_was_empty(),
         };
--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -1,7 +1,8 @@
 //! Process signals, delivered to the event loop through pipes.
 
 use super::transient::{START_PATIENCE, START_RETRY_INTERVAL, is_transient};
-use crate::net::{PipeId, Reactor};
+use crate::net::PipeId;
+use crate::runtime::Reactor;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -10,7 +10,7 @@
 use crate::backend::Pool;
 use crate::config::{ConfigProblem, ConfigSources, Configuration, JsonRpcConfig, VrrpConfig};
 use crate::discovery::Discovery;
-use crate::net::{Reactor, SystemClock};
+use crate::runtime::{self, Reactor};
 use crate::scheduler::Scheduler;
 use std::io;
 use std::net::SocketAddr;
@@ -70,7 +70,8 @@
             scheduler: mut config,
             operator,
         } = sources.load()?;
-        let mut reactor = Reactor::new(SystemClock::new()).map_err(ServerError::Reactor)?;
+        let scheduler = Scheduler::new(config.site.clone(), config.seed);
+        let mut reactor = runtime::reactor(scheduler).map_err(ServerError::Reactor)?;
         let signals = signals.watch(&mut reactor).map_err(ServerError::SignalHandlers)?;
         config.listen = listen(config.listen, &mut reactor)?;
         let jsonrpc = operator.jsonrpc.as_ref();
@@ -81,15 +82,13 @@
         let leader_election = vrrp
             .map(|config| join_election(config, &mut reactor))
             .transpose()?;
-        reactor.active = leader_election.is_none();
-        let mut scheduler = Scheduler::new(config.site.clone(), config.seed);
-        limits::limit_memory(&config, &mut scheduler, &mut reactor);
+        reactor.shared.active = leader_election.is_none();
+        limits::limit_memory(&config, &mut reactor);
         let mut pool = Pool::new(limits::worker_limits(&config));
         let configured = assign_jsonrpc_worker_addresses(&operator, &config.site, &mut pool);
         let known = std::mem::take(&mut config.known_events);
         Ok(Server {
             sources: sources.clone(),
-            scheduler,
             discovery: Discovery::new(config.discovery_service, known, configured, reactor.now()),
             acceptor: Acceptor::new(limits::client_limits(&config), jsonrpc),
             reactor,
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -6,7 +6,8 @@
 
 use function_scheduler::backend::{Limits, Pool, WorkerAddress};
 use function_scheduler::config::parse_site;
-use function_scheduler::net::{Reactor, SystemClock};
+use function_scheduler::net::SystemClock;
+use function_scheduler::runtime::{self, Reactor};
 use function_scheduler::scheduler::{
     AttemptId, ClientRequest, Command, LoadOrderId, LoadResult, RequestOrigin, RequestParameters, Scheduler,
     WorkerResponse,
@@ -34,6 +35,12 @@
     scheduler
 }
 
+/// A reactor round a scheduler with the default settings whose only worker is ready.
+fn reactor_with_one_worker() -> Reactor {
+    let now = SystemClock::new().now();
+    runtime::reactor(scheduler_with_one_worker(&default_settings(), now)).unwrap()
+}
+
 /// The n-th request of a test as a front end submits it.
 fn client_request(n: u64, function: FunctionId, now: Time) -> ClientRequest {
     let deadline = now + Span::from_millis(60_000);
@@ -64,13 +71,13 @@
 }
 
 /// Hands all commands to the pool; the attempt among them.
-fn carry_out_commands(scheduler: &mut Scheduler, pool: &mut Pool, reactor: &mut Reactor) -> AttemptId {
+fn carry_out_commands(pool: &mut Pool, reactor: &mut Reactor) -> AttemptId {
     let mut sent = None;
-    while let Some(command) = scheduler.next_command() {
+    while let Some(command) = reactor.shared.scheduler.next_command() {
         if let Command::Send { attempt, .. } = command {
             sent = Some(attempt);
         }
-        pool.command(command, reactor, scheduler);
+        pool.command(command, reactor);
     }
     sent.expect("the request is sent")
 }
@@ -80,24 +87,27 @@
 #[test]
 fn ended_attempts_are_forgotten_while_their_connection_is_in_use() {
     let worker = RawWorker::new();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
-    let mut scheduler = scheduler_with_one_worker(&default_settings(), reactor.now());
+    let mut reactor = reactor_with_one_worker();
     let mut pool = Pool::new(unlimited());
     pool.set_address(WORKER, WorkerAddress::NodeAgent(worker.address()), None);
     for n in 0..10_000 {
         let now = reactor.now();
-        scheduler.submit(now, client_request(n, FunctionId(9), now));
-        let attempt = carry_out_commands(&mut scheduler, &mut pool, &mut reactor);
+        reactor
+            .shared
+            .scheduler
+            .submit(now, client_request(n, FunctionId(9), now));
+        let attempt = carry_out_commands(&mut pool, &mut reactor);
         // The first stays in flight for good.
+        let scheduler = &mut reactor.shared.scheduler;
         if n > 0 {
             scheduler.attempt_ended(now, attempt, Ok(WorkerResponse::Ok(vec![])));
             while scheduler.next_command().is_some() {}
         }
-        pool.forget_ended(&scheduler);
+        pool.forget_ended(scheduler);
         let remembered = pool.routes_remembered();
         assert!(remembered < 500, "{remembered} of {n} are remembered");
     }
-    assert_eq!(scheduler.attempts_in_flight(), 1);
+    assert_eq!(reactor.shared.scheduler.attempts_in_flight(), 1);
 }
 
 /// Submits a request for a function of its own, answers its attempts with a miss, and takes the load order that
@@ -175,33 +185,32 @@
 fn an_attempt_whose_client_left_is_not_completed_once_its_worker_reads_on() {
     const MORE_THAN_THE_SYSTEM_TAKES: usize = 16 << 20;
     let worker = RawWorker::new();
-    let mut reactor = Reactor::new(SystemClock::new()).unwrap();
-    let mut scheduler = scheduler_with_one_worker(&default_settings(), reactor.now());
+    let mut reactor = reactor_with_one_worker();
     let mut pool = Pool::new(unlimited());
     pool.set_address(WORKER, WorkerAddress::NodeAgent(worker.address()), None);
     let mut request = client_request(1, FunctionId(9), reactor.now());
     request.parameters.body = vec![b'x'; MORE_THAN_THE_SYSTEM_TAKES];
     let origin = request.origin;
-    scheduler.submit(reactor.now(), request);
-    carry_out_commands(&mut scheduler, &mut pool, &mut reactor);
+    reactor.shared.scheduler.submit(reactor.now(), request);
+    carry_out_commands(&mut pool, &mut reactor);
     let mut connection = worker.accept();
     while !reactor.has_unsent_output() {
-        poll_briefly(&mut reactor, &mut scheduler);
+        poll_briefly(&mut reactor);
     }
-    scheduler.cancel(reactor.now(), origin);
-    while let Some(command) = scheduler.next_command() {
-        pool.command(command, &mut reactor, &mut scheduler);
+    reactor.shared.scheduler.cancel(reactor.now(), origin);
+    while let Some(command) = reactor.shared.scheduler.next_command() {
+        pool.command(command, &mut reactor);
     }
     let reader = std::thread::spawn(move || connection.complete_requests_until_quiet());
     while !reader.is_finished() {
-        poll_briefly(&mut reactor, &mut scheduler);
+        poll_briefly(&mut reactor);
     }
     assert_eq!(reader.join().unwrap(), 0);
-    assert_eq!(scheduler.counters().violations, 0);
+    assert_eq!(reactor.shared.scheduler.counters().violations, 0);
 }
 
 /// Waits for events for a moment at most.
-fn poll_briefly(reactor: &mut Reactor, scheduler: &mut Scheduler) {
+fn poll_briefly(reactor: &mut Reactor) {
     let soon = reactor.now() + Span::from_millis(5);
-    reactor.poll(Some(soon), scheduler).unwrap();
+    reactor.poll(Some(soon)).unwrap();
 }
