--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -38,7 +38,7 @@
 }
 
 impl ConfigSources {
-    /// Reads and checks both files. A problem in either refuses both.
+    /// Reads and checks both files. A problem in either file is an error for both.
     ///
     /// # Errors
     ///
--- a/src/vrrp/state_machine.rs
+++ b/src/vrrp/state_machine.rs
@@ -80,7 +80,7 @@
     /// When the timer of the state fires: `Adver_Timer` in [`State::Active`], `Active_Down_Timer` in
     /// [`State::Backup`] (RFC 9568, section 6.2).
     timer: Option<Time>,
-    /// Time between the advertisements of the active router, as its own say (`Active_Adver_Interval`).
+    /// Time between the advertisements of the active router, as these announce it (`Active_Adver_Interval`).
     active_advertisement_interval: Span,
 }
 
