--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -1,99 +1,130 @@
-//! The attempts that are in flight or wait to be written.
+//! Attempts: what starts them, and what becomes of them at their workers.
 
-use super::AttemptId;
-use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, Time, WorkerId};
-use std::collections::BTreeMap;
+use super::attempt_table::Attempt;
+use super::timers::Timer;
+use super::{AttemptError, AttemptId, Command, ReportedMetric, Scheduler, WorkerResponse};
+use crate::model::{AttemptStatus, Event, RequestId, Span, Time, WorkerId};
+use tracing::debug;
 
-/// An attempt from the policy's decision to its end.
-#[derive(Debug)]
-pub(super) struct Attempt {
-    /// The worker it goes to.
-    pub(super) worker: WorkerId,
-    /// When its response is no longer waited for.
-    pub(super) deadline: Time,
-    /// When it was admitted to be written, and its time limit was encoded.
-    pub(super) write_began_at: Option<Time>,
-    started_at: Time,
-    /// The load report that came with the response; empty without one.
-    load_report: Vec<f32>,
-}
-
-impl Attempt {
-    /// An attempt that the policy has just decided on.
-    pub(super) fn new(worker: WorkerId, started_at: Time, deadline: Time) -> Attempt {
-        Attempt {
-            worker,
-            deadline,
-            write_began_at: None,
-            started_at,
-            load_report: Vec::new(),
-        }
+impl Scheduler {
+    /// How many attempts are in flight or wait to be written.
+    pub fn attempts_in_flight(&self) -> usize {
+        self.attempts.len()
     }
 
-    /// What the policy is told of the attempt's end.
-    pub(super) fn into_outcome(
-        self,
-        now: Time,
-        id: AttemptId,
-        status: AttemptStatus,
-        request_finished: bool,
-    ) -> AttemptOutcome {
-        AttemptOutcome {
-            id: id.request,
-            attempt: id.number,
-            status,
-            latency: now - self.started_at,
-            request_finished,
-            instance_state: InstanceState::Unknown,
-            function_in_flight: 0,
-            load_report: self.load_report,
-        }
+    /// Whether an attempt is in flight or waits to be written.
+    pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
+        self.attempts.contains(attempt)
     }
-}
 
-/// The attempts that have not ended.
-#[derive(Debug, Default)]
-pub(super) struct AttemptTable {
-    attempts: BTreeMap<AttemptId, Attempt>,
-}
-
-impl AttemptTable {
-    /// How many attempts have not ended.
-    pub(super) fn len(&self) -> usize {
-        self.attempts.len()
+    /// An attempt has been handed to the operating system completely.
+    pub fn attempt_written(&mut self, now: Time, attempt: AttemptId) {
+        self.check_written(now, attempt);
+        if !self.attempts.contains(attempt) {
+            return;
+        }
+        self.counters.attempts_written += 1;
+        debug!(
+            "attempt written request={} attempt={}",
+            attempt.request.0, attempt.number
+        );
+        if let Some(request) = self.requests.get_mut(attempt.request) {
+            request.record_write(attempt.number, now);
+        }
     }
 
-    /// Whether this attempt has not ended.
-    pub(super) fn contains(&self, id: AttemptId) -> bool {
-        self.attempts.contains_key(&id)
+    /// Takes the load report that came with an attempt's response; the response itself is to be reported
+    /// next. A load report that lacks a metric of the settings is ignored, since the policy knows the values
+    /// by position.
+    pub fn record_load_report(&mut self, attempt: AttemptId, report: &[ReportedMetric]) {
+        let value_of = |name: &String| {
+            let metric = report.iter().find(|metric| metric.name == *name);
+            metric.map(|metric| metric.value)
+        };
+        let values: Option<Vec<f32>> = self.site.load_metric_names.iter().map(value_of).collect();
+        if let Some(values) = values {
+            self.attempts.record_load_report(attempt, values);
+        }
     }
 
-    /// An attempt that has not ended.
-    pub(super) fn get(&self, id: AttemptId) -> Option<&Attempt> {
-        self.attempts.get(&id)
+    /// An attempt has ended with a worker's response, or failed on the way.
+    pub fn attempt_ended(&mut self, now: Time, id: AttemptId, result: Result<WorkerResponse, AttemptError>) {
+        if !self.attempts.contains(id) {
+            return;
+        }
+        let status = match &result {
+            Ok(response) => response.attempt_status(),
+            Err(error) => error.progress.attempt_status(),
+        };
+        if status.never_ran()
+            && let Some(request) = self.requests.get_mut(id.request)
+        {
+            request.retract_write(id.number);
+        }
+        if let Ok(WorkerResponse::Ok(body)) = result {
+            self.serve(now, id.request, body);
+        }
+        self.finish_attempt(now, id, status);
+        self.run_policy(now);
     }
 
-    /// Adds an attempt.
-    pub(super) fn insert(&mut self, id: AttemptId, attempt: Attempt) {
-        self.attempts.insert(id, attempt);
+    /// An attempt was not written for a local reason: it was no longer admitted, or no connection could be
+    /// opened for it. Unlike a refused connection, this says nothing of the worker.
+    pub fn attempt_not_sent(&mut self, now: Time, attempt: AttemptId) {
+        self.finish_attempt(now, attempt, AttemptStatus::NotSent);
+        self.run_policy(now);
     }
 
-    /// Removes an attempt that has ended.
-    pub(super) fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
-        self.attempts.remove(&id)
+    /// Starts the next attempt of a request. It ends at the request's deadline at the latest.
+    pub(super) fn start_attempt(&mut self, now: Time, id: RequestId, worker: WorkerId, timeout: Span) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let attempt = AttemptId {
+            request: id,
+            number: request.start_attempt(),
+        };
+        let deadline = (now + timeout).min(request.deadline);
+        let payload = request.payload.clone();
+        debug!(
+            "attempt begun request={} attempt={} worker={:08x}",
+            id.0, attempt.number, worker.0
+        );
+        self.attempts.insert(attempt, Attempt::new(worker, now, deadline));
+        self.timers.schedule(deadline, Timer::Attempt(attempt));
+        self.commands.push_back(Command::Send {
+            attempt,
+            worker,
+            payload,
+            deadline,
+        });
     }
 
-    /// Notes that an attempt is being written from now on.
-    pub(super) fn begin_write(&mut self, now: Time, id: AttemptId) {
-        if let Some(attempt) = self.attempts.get_mut(&id) {
-            attempt.write_began_at = Some(now);
-        }
+    /// Ends an attempt that has not ended at its worker, and has the worker cancel it.
+    pub(super) fn cancel_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
+        let Some(attempt) = self.attempts.get(id) else {
+            return;
+        };
+        self.commands.push_back(Command::Cancel {
+            attempt: id,
+            worker: attempt.worker,
+        });
+        self.finish_attempt(now, id, status);
     }
 
-    /// Keeps the load report that came with an attempt's response until the attempt ends.
-    pub(super) fn record_load_report(&mut self, id: AttemptId, load_report: Vec<f32>) {
-        if let Some(attempt) = self.attempts.get_mut(&id) {
-            attempt.load_report = load_report;
-        }
+    /// Ends an attempt that has ended at its worker, or never reached it.
+    fn finish_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
+        let Some(attempt) = self.attempts.remove(id) else {
+            return;
+        };
+        self.timers.cancel(attempt.deadline, Timer::Attempt(id));
+        self.counters.count_attempt_end(status);
+        debug!(
+            "attempt ended request={} attempt={} status={status:?}",
+            id.request.0, id.number
+        );
+        let request_finished = !self.requests.contains(id.request);
+        let outcome = attempt.into_outcome(now, id, status, request_finished);
+        self.pending_events.push_back(Event::AttemptFinished(outcome));
     }
 }
--- a/src/scheduler/command.rs
+++ b/src/scheduler/command.rs
@@ -1,10 +1,22 @@
-//! What the scheduler asks of the event loop round it.
+//! Commands: what the scheduler has the event loop do.
 
 use super::{AttemptId, HealthCheckId, LoadOrderId, RequestOrigin, RequestPayload, Response};
 use crate::model::{FunctionId, Time, WorkerId};
 use std::rc::Rc;
 
-/// A command to the front ends or the back end. Commands are to be carried out in their order.
+/// A command to a frontend or to the backend, to be executed in order.
+///
+/// It marks the border between the scheduler, which has no sockets, and the event loop. Three more types stand for the
+/// same work on its way:
+///
+/// - An [`Action`](crate::model::Action) marks the border before this one, between the policy and its host: it names a
+///   request and a worker, and the scheduler adds what the policy does not know, such as the body and the attempt's
+///   number.
+/// - The attempt, load order or health check that a command starts is the scheduler's record of it. It begins with the
+///   command, ends with the worker's response, a failure or a timer, and is named by [`AttemptId`], [`LoadOrderId`] or
+///   [`HealthCheckId`] on both sides of this border.
+/// - An exchange is the backend's record of the same work on one connection: a command that was written, or waits to
+///   be, and the response that it is owed.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Give a client the final response to its request.
--- a/src/scheduler/endpoint_states.rs
+++ b/src/scheduler/endpoint_states.rs
@@ -1,6 +1,7 @@
-//! The state of each worker on the endpoint list.
+//! Updates of the endpoint list, and the state of each worker on it.
 
-use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, WorkerId};
+use super::Scheduler;
+use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, Event, Time, WorkerId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What the endpoint list last said of each worker. A worker that is not on the list has no entry.
@@ -9,6 +10,15 @@
     states: BTreeMap<WorkerId, EndpointState>,
 }
 
+impl Scheduler {
+    /// Applies an update of the endpoint list.
+    pub fn update_endpoints(&mut self, now: Time, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
+        self.counters.endpoint_updates += 1;
+        self.endpoint_states.apply(kind, &endpoints);
+        self.handle_event(now, Event::EndpointsUpdated { kind, endpoints });
+    }
+}
+
 impl EndpointStates {
     /// Applies an update of the endpoint list.
     pub(super) fn apply(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
--- /dev/null
+++ b/src/scheduler/health_check_table.rs
@@ -0,0 +1,46 @@
+//! The table of health checks that have not ended.
+
+use super::HealthCheckId;
+use crate::model::{Span, Time, WorkerId};
+use std::collections::BTreeMap;
+
+/// A health check without a response after this time has failed: the simulator's limit, with the 50 ms by
+/// which every time limit is longer on sockets.
+const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(300);
+
+/// A health check that has not ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HealthCheck {
+    /// The worker that is asked.
+    pub(super) worker: WorkerId,
+    /// When its response is no longer waited for.
+    pub(super) deadline: Time,
+}
+
+impl HealthCheck {
+    /// A health check that the policy has just decided on.
+    pub(super) fn new(worker: WorkerId, now: Time) -> HealthCheck {
+        HealthCheck {
+            worker,
+            deadline: now + HEALTH_CHECK_TIMEOUT,
+        }
+    }
+}
+
+/// The health checks that have not ended.
+#[derive(Debug, Default)]
+pub(super) struct HealthCheckTable {
+    checks: BTreeMap<HealthCheckId, HealthCheck>,
+}
+
+impl HealthCheckTable {
+    /// Adds a health check.
+    pub(super) fn insert(&mut self, id: HealthCheckId, check: HealthCheck) {
+        self.checks.insert(id, check);
+    }
+
+    /// Removes a health check that has ended.
+    pub(super) fn remove(&mut self, id: HealthCheckId) -> Option<HealthCheck> {
+        self.checks.remove(&id)
+    }
+}
--- a/src/scheduler/health_checks.rs
+++ b/src/scheduler/health_checks.rs
@@ -1,46 +1,52 @@
-//! The health checks that have not ended.
+//! Health checks: what starts them, and what becomes of them at their workers.
 
-use super::HealthCheckId;
-use crate::model::{Span, Time, WorkerId};
-use std::collections::BTreeMap;
+use super::health_check_table::HealthCheck;
+use super::timers::Timer;
+use super::{AttemptError, Command, HealthCheckId, Scheduler};
+use crate::model::{Event, HealthCheckStatus, Time, WorkerId};
 
-/// A health check without a response after this time has failed: the simulator's limit, with the 50 ms by
-/// which every time limit is longer on sockets.
-const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(300);
-
-/// A health check that has not ended.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct HealthCheck {
-    /// The worker that is asked.
-    pub(super) worker: WorkerId,
-    /// When its response is no longer waited for.
-    pub(super) deadline: Time,
-}
+impl Scheduler {
+    /// A health check has been answered, or failed on the way.
+    pub fn health_check_ended(&mut self, now: Time, check: HealthCheckId, result: Result<(), AttemptError>) {
+        let status = match result {
+            Ok(()) => HealthCheckStatus::Alive,
+            Err(_) => HealthCheckStatus::Failed,
+        };
+        self.finish_health_check(check, status);
+        self.run_policy(now);
+    }
 
-impl HealthCheck {
-    /// A health check that the policy has just decided on.
-    pub(super) fn new(worker: WorkerId, now: Time) -> HealthCheck {
-        HealthCheck {
+    /// Asks a worker whether it is alive.
+    pub(super) fn start_health_check(&mut self, now: Time, worker: WorkerId) {
+        let id = HealthCheckId(self.allocate_exchange_number());
+        let check = HealthCheck::new(worker, now);
+        let deadline = check.deadline;
+        self.health_checks.insert(id, check);
+        self.timers.schedule(deadline, Timer::HealthCheck(id));
+        self.counters.health_checks += 1;
+        self.commands.push_back(Command::HealthCheck {
+            check: id,
             worker,
-            deadline: now + HEALTH_CHECK_TIMEOUT,
-        }
+            deadline,
+        });
     }
-}
-
-/// The health checks that have not ended.
-#[derive(Debug, Default)]
-pub(super) struct HealthCheckTable {
-    checks: BTreeMap<HealthCheckId, HealthCheck>,
-}
 
-impl HealthCheckTable {
-    /// Adds a health check.
-    pub(super) fn insert(&mut self, id: HealthCheckId, check: HealthCheck) {
-        self.checks.insert(id, check);
+    /// Ends a health check that got no response in time.
+    pub(super) fn time_out_health_check(&mut self, id: HealthCheckId) {
+        self.finish_health_check(id, HealthCheckStatus::Timeout);
     }
 
-    /// Removes a health check that has ended.
-    pub(super) fn remove(&mut self, id: HealthCheckId) -> Option<HealthCheck> {
-        self.checks.remove(&id)
+    fn finish_health_check(&mut self, id: HealthCheckId, status: HealthCheckStatus) {
+        let Some(check) = self.health_checks.remove(id) else {
+            return;
+        };
+        self.timers.cancel(check.deadline, Timer::HealthCheck(id));
+        if status != HealthCheckStatus::Alive {
+            self.counters.health_checks_failed += 1;
+        }
+        self.pending_events.push_back(Event::HealthCheckFinished {
+            worker: check.worker,
+            status,
+        });
     }
 }
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -20,10 +20,10 @@
     pub number: u16,
 }
 
-/// One load order. The backend's tag on the wire is made from it.
+/// One load order. The backend derives its correlation id on the wire from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadOrderId(pub u64);
 
-/// One health check. The backend's tag on the wire is made from it.
+/// One health check. The backend derives its correlation id on the wire from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HealthCheckId(pub u64);
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -1,5 +1,5 @@
-//! Promises that are checked while the scheduler runs. A violation is counted and logged with its ids; it changes
-//! nothing, for whoever breaks a promise does so in spite of the guards.
+//! Invariants that are checked while the scheduler runs. A violation is counted and logged with its ids, and changes
+//! nothing else: it occurs only where a guard has failed.
 //!
 //! The guards are [`request_admission`](super::request_admission) for what is started, and
 //! [`write_admission`](super::write_admission) for what is sent and repeated. What is closed is guarded by the reactor,
@@ -14,10 +14,11 @@
 /// A final response that is later than this after its request's deadline is lost: half a second (page STANDING), and the
 /// 50 ms by which every time limit is longer on sockets (page PROTOCOL).
 const RESPONSE_SLACK: Span = Span::from_millis(550);
-/// The time limit that a worker is told may exceed what the client has left by so much (terms of 2026-12-02).
+/// The time limit that a command gives to its worker may exceed what the client has left by so much (terms of
+/// 2026-12-02).
 const TIME_LIMIT_SLACK: Span = Span::from_millis(150);
 
-/// A promise that was found broken.
+/// An invariant that does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
     /// A connection was closed by this process with a request open on it.
@@ -32,13 +33,13 @@
     /// The last byte of a repeat was written at a time when the request must not run again.
     #[error("repeat not permitted")]
     RepeatNotPermitted,
-    /// A worker was told of a time limit that the client no longer has.
+    /// A command gave its worker a time limit that the client no longer has.
     #[error("time limit too long")]
     TimeLimitTooLong,
 }
 
 impl Scheduler {
-    /// Counts and logs a broken promise, with the ids of what it concerns.
+    /// Counts and logs a violation, with the ids of what it concerns.
     pub fn record_violation(&mut self, now: Time, violation: Violation, ids: fmt::Arguments) {
         self.counters.violations += 1;
         if self.may_log(now) {
--- a/src/scheduler/load_orders.rs
+++ b/src/scheduler/load_orders.rs
@@ -1,74 +1,73 @@
-//! The load orders that have not ended, and the functions for which orders are of use.
+//! Load orders: what starts them, and what becomes of them at their workers.
 
-use super::recent_functions::RecentFunctions;
-use super::{LoadOrderId, LoadResult};
-use crate::model::{FunctionId, LoadOutcome, Time, WorkerId};
-use std::collections::BTreeMap;
+use super::load_order_table::LoadOrder;
+use super::timers::Timer;
+use super::{AttemptError, Command, LoadOrderId, LoadResult, Scheduler};
+use crate::model::{Event, FunctionId, LoadStatus, Time, WorkerId};
 
-/// A load order from the policy's decision to its end.
-#[derive(Debug)]
-pub(super) struct LoadOrder {
-    /// The worker it goes to.
-    pub(super) worker: WorkerId,
-    /// The function to load.
-    pub(super) function: FunctionId,
-    /// How many instances are to be loaded at least.
-    pub(super) instances: u8,
-    /// When its result is no longer waited for.
-    pub(super) deadline: Time,
-    /// When the policy decided on it.
-    pub(super) started_at: Time,
-}
-
-impl LoadOrder {
-    /// Whether the order loads nothing and only asks how many instances are loaded.
-    pub(super) fn is_query(&self) -> bool {
-        self.instances == 0
-    }
-
-    /// What the policy is told of the order's end.
-    pub(super) fn outcome(&self, now: Time, result: LoadResult) -> LoadOutcome {
-        LoadOutcome {
-            worker: self.worker,
-            function: self.function,
-            instances: result.instances,
-            status: result.status,
-            latency: now - self.started_at,
-        }
+impl Scheduler {
+    /// How many written load orders the rate limit remembers.
+    pub fn load_orders_remembered(&self) -> usize {
+        self.load_rate_limiter.load_orders_remembered()
     }
-}
-
-/// The load orders that have not ended.
-#[derive(Debug, Default)]
-pub(super) struct LoadOrderTable {
-    orders: BTreeMap<LoadOrderId, LoadOrder>,
-    recent_functions: RecentFunctions,
-}
 
-impl LoadOrderTable {
-    /// A load order that has not ended.
-    pub(super) fn get(&self, id: LoadOrderId) -> Option<&LoadOrder> {
-        self.orders.get(&id)
+    /// A load order has ended with a worker's response, or failed on the way.
+    pub fn load_order_ended(
+        &mut self,
+        now: Time,
+        order: LoadOrderId,
+        result: Result<LoadResult, AttemptError>,
+    ) {
+        let result =
+            result.unwrap_or_else(|error| LoadResult::without_instances(error.progress.load_status()));
+        self.finish_load_order(now, order, result);
+        self.run_policy(now);
     }
 
-    /// Adds a load order.
-    pub(super) fn insert(&mut self, id: LoadOrderId, order: LoadOrder) {
-        self.orders.insert(id, order);
+    /// A load order was not written for a local reason; see [`Scheduler::attempt_not_sent`].
+    pub fn load_order_not_sent(&mut self, now: Time, order: LoadOrderId) {
+        self.finish_load_order(now, order, LoadResult::without_instances(LoadStatus::NotSent));
+        self.run_policy(now);
     }
 
-    /// Removes a load order that has ended.
-    pub(super) fn remove(&mut self, id: LoadOrderId) -> Option<LoadOrder> {
-        self.orders.remove(&id)
+    /// Orders a worker to load a function.
+    pub(super) fn start_load_order(
+        &mut self,
+        now: Time,
+        worker: WorkerId,
+        function: FunctionId,
+        instances: u8,
+    ) {
+        let id = LoadOrderId(self.allocate_exchange_number());
+        let deadline = now + self.site.load_timeout;
+        let order = LoadOrder {
+            worker,
+            function,
+            instances,
+            deadline,
+            started_at: now,
+        };
+        self.load_orders.insert(id, order);
+        self.timers.schedule(deadline, Timer::LoadOrder(id));
+        self.commands.push_back(Command::Load {
+            order: id,
+            worker,
+            function,
+            instances,
+        });
     }
 
-    /// Notes that a client has requested this function.
-    pub(super) fn record_request(&mut self, now: Time, function: FunctionId) {
-        self.recent_functions.record(now, function);
+    /// Ends a load order that got no response in time.
+    pub(super) fn time_out_load_order(&mut self, now: Time, id: LoadOrderId) {
+        self.finish_load_order(now, id, LoadResult::without_instances(LoadStatus::Timeout));
     }
 
-    /// Whether a client has requested the function of this order recently. A function that no client ever
-    /// requested must not be loaded.
-    pub(super) fn is_for_requested_function(&self, order: &LoadOrder) -> bool {
-        self.recent_functions.contains(order.function)
+    fn finish_load_order(&mut self, now: Time, id: LoadOrderId, result: LoadResult) {
+        let Some(order) = self.load_orders.remove(id) else {
+            return;
+        };
+        self.timers.cancel(order.deadline, Timer::LoadOrder(id));
+        let outcome = order.outcome(now, result);
+        self.pending_events.push_back(Event::LoadFinished(outcome));
     }
 }
--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -14,7 +14,7 @@
 }
 
 impl LoadRateLimiter {
-    /// Notes that a request has been received, accepted or not.
+    /// Records that a request has been received, accepted or not.
     pub(super) fn record_request(&mut self, now: Time) {
         self.requests.push_back(now);
     }
--- a/src/scheduler/log_limiter.rs
+++ b/src/scheduler/log_limiter.rs
@@ -1,5 +1,6 @@
 //! A rate limit on log lines that clients cause.
 
+use super::Scheduler;
 use crate::model::{Span, Time};
 
 /// The period over which lines are counted.
@@ -27,3 +28,15 @@
         self.lines <= LINES_PER_WINDOW
     }
 }
+
+impl Scheduler {
+    /// Whether a log line that a client has caused may be written. Lines are limited to ten a second; those
+    /// beyond are only counted.
+    pub fn may_log(&mut self, now: Time) -> bool {
+        let allowed = self.log_limiter.try_acquire(now);
+        if !allowed {
+            self.counters.log_lines_suppressed += 1;
+        }
+        allowed
+    }
+}
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,4 +1,8 @@
-//! Requests, workers' responses and final responses, as front ends, scheduler and back end exchange them.
+//! Requests, workers' responses and final responses, as frontends, scheduler and backend exchange them.
+//!
+//! Ends come in two kinds. A *request* ends once, with an [`Outcome`], which its client receives within a [`Response`].
+//! An *attempt* of it ends with a [`WorkerResponse`] or a failure, of which the policy is notified as an
+//! [`AttemptOutcome`](crate::model::AttemptOutcome); a request may have several attempts, or none.
 
 use super::RequestOrigin;
 use crate::model::{AttemptStatus, FunctionId, LoadStatus, Span, Time};
@@ -40,7 +44,7 @@
     }
 }
 
-/// A request as a client connection hands it in.
+/// A request as a client's connection submits it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Where the final response goes.
@@ -131,7 +135,8 @@
     }
 }
 
-/// How a request ended.
+/// How a request ended, as its client is to know it: not the end of one attempt, which is an
+/// [`AttemptOutcome`](crate::model::AttemptOutcome).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served, with a worker's response body.
@@ -156,7 +161,7 @@
     }
 }
 
-/// The one final response to a request.
+/// The one final response to a request: its outcome, and what else the frontend needs to encode it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// How the request ended.
--- a/src/scheduler/recent_functions.rs
+++ b/src/scheduler/recent_functions.rs
@@ -18,7 +18,7 @@
 }
 
 impl RecentFunctions {
-    /// Notes that a function has been requested.
+    /// Records that a function has been requested.
     pub(super) fn record(&mut self, now: Time, function: FunctionId) {
         let is_old = now - self.current_since > GENERATION_DURATION;
         if is_old || self.current.len() >= GENERATION_CAPACITY {
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that are owed a final response.
+//! The table of open requests: those that are owed a final response.
 
 use super::{RequestOrigin, RequestPayload};
 use crate::model::{Idempotency, RequestId, Span, Time};
@@ -15,9 +15,9 @@
 /// The memory limit until one is configured, in bytes.
 const DEFAULT_MEMORY_LIMIT: usize = 192 << 20;
 
-/// A request that is owed a final response.
+/// An open request: it is owed a final response.
 #[derive(Debug)]
-pub(super) struct PendingRequest {
+pub(super) struct OpenRequest {
     /// Where the final response goes.
     pub(super) origin: RequestOrigin,
     /// What each attempt carries.
@@ -31,15 +31,15 @@
     first_write: Option<(u16, Time)>,
 }
 
-impl PendingRequest {
+impl OpenRequest {
     /// A request without attempts.
     pub(super) fn new(
         origin: RequestOrigin,
         payload: RequestPayload,
         idempotency: Idempotency,
         deadline: Time,
-    ) -> PendingRequest {
-        PendingRequest {
+    ) -> OpenRequest {
+        OpenRequest {
             origin,
             payload: Rc::new(payload),
             idempotency,
@@ -77,11 +77,11 @@
     }
 }
 
-/// The pending requests, found by id or by origin, with what they occupy: correlation ids and memory.
+/// The open requests, found by id or by origin, with what they occupy: correlation ids and memory.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     next_id: RequestId,
-    requests: BTreeMap<RequestId, PendingRequest>,
+    requests: BTreeMap<RequestId, OpenRequest>,
     ids_by_origin: HashMap<RequestOrigin, RequestId>,
     correlation_ids: HashSet<String>,
     body_bytes: usize,
@@ -101,12 +101,12 @@
         }
     }
 
-    /// Sets the memory limit of the process, in bytes; bodies of open requests get a part of it.
+    /// Sets the memory limit of the process, in bytes; bodies of open requests get a fraction of it.
     pub(super) fn set_memory_limit(&mut self, bytes: usize) {
         self.max_body_bytes = bytes / BODY_MEMORY_DIVISOR;
     }
 
-    /// How many requests are pending.
+    /// How many requests are open.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
@@ -116,33 +116,33 @@
         self.requests.len() < max_open_requests && self.body_bytes + body_bytes <= self.max_body_bytes
     }
 
-    /// Whether a pending request has this correlation id.
+    /// Whether an open request has this correlation id.
     pub(super) fn has_correlation_id(&self, correlation_id: &str) -> bool {
         self.correlation_ids.contains(correlation_id)
     }
 
-    /// The pending request from this origin.
+    /// The open request from this origin.
     pub(super) fn id_at(&self, origin: RequestOrigin) -> Option<RequestId> {
         self.ids_by_origin.get(&origin).copied()
     }
 
-    /// Whether this request is pending.
+    /// Whether this request is open.
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// A pending request.
-    pub(super) fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+    /// An open request.
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.requests.get(&id)
     }
 
-    /// A pending request, to be changed.
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+    /// An open request, to be changed.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&id)
     }
 
     /// Adds a request under a new id.
-    pub(super) fn insert(&mut self, request: PendingRequest) -> RequestId {
+    pub(super) fn insert(&mut self, request: OpenRequest) -> RequestId {
         let id = self.next_id;
         self.next_id = RequestId(id.0.wrapping_add(1));
         self.body_bytes += request.payload.body.len();
@@ -154,7 +154,7 @@
     }
 
     /// Removes a request with all that it occupied.
-    pub(super) fn remove(&mut self, id: RequestId) -> Option<PendingRequest> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(&id)?;
         self.body_bytes -= request.payload.body.len();
         self.correlation_ids.remove(&request.payload.correlation_id);
--- a/src/scheduler/tests/attempts.rs
+++ b/src/scheduler/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What the ends of attempts tell the policy.
+//! What the policy is notified of when attempts end.
 
 use super::*;
 use crate::model::LoadMetric;
@@ -59,12 +59,12 @@
     assert_ne!(third.worker, first.worker, "it refused a connection");
 }
 
-/// The back end makes tags of both on the same connections.
+/// The backend derives correlation ids from both on the same connections.
 #[test]
 fn load_orders_and_health_checks_are_numbered_in_one_sequence() {
     let mut scheduler = test_scheduler();
     assert_eq!(start_load_order(&mut scheduler, at_millis(0)), LoadOrderId(0));
-    scheduler.carry_out(at_millis(0), Action::HealthCheck { worker: WorkerId(1) });
+    scheduler.execute_action(at_millis(0), Action::HealthCheck { worker: WorkerId(1) });
     let Some(Command::HealthCheck { check, .. }) = scheduler.next_command() else {
         panic!("no check")
     };
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -15,7 +15,9 @@
 
 use super::*;
 use crate::config::parse_site;
-use crate::model::{Action, ConnectionId, EndpointState, FunctionId, StreamId, WorkerId};
+use crate::model::{
+    ConnectionId, Endpoint, EndpointState, EndpointUpdateKind, FunctionId, Span, StreamId, WorkerId,
+};
 
 /// Names of the request classes of [`SITE`].
 const IDEMPOTENT_CLASS: &str = "idempotent";
@@ -70,7 +72,7 @@
     }
 }
 
-/// Tells the scheduler that only these workers have changed.
+/// Notifies the scheduler that only these workers have changed.
 fn update_endpoints(scheduler: &mut Scheduler, now: Time, endpoints: Vec<Endpoint>) {
     scheduler.update_endpoints(now, EndpointUpdateKind::Delta, endpoints);
 }
@@ -141,14 +143,14 @@
     })
 }
 
-/// Has the scheduler carry out an order to load one instance of [`FUNCTION`].
+/// Has the scheduler execute an action to load one instance of [`FUNCTION`].
 fn start_load_order(scheduler: &mut Scheduler, now: Time) -> LoadOrderId {
     let action = Action::Load {
         worker: LOADING_WORKER,
         function: FUNCTION,
         instances: 1,
     };
-    scheduler.carry_out(now, action);
+    scheduler.execute_action(now, action);
     match scheduler.next_command() {
         Some(Command::Load { order, .. }) => order,
         other => panic!("{other:?}"),
--- a/src/scheduler/tests/request_admission.rs
+++ b/src/scheduler/tests/request_admission.rs
@@ -1,7 +1,7 @@
 //! The checks on a request before it is accepted.
 
 use super::*;
-use crate::scheduler::request_admission::RequestDenied;
+use crate::scheduler::request_admission::{RequestDenied, check_request};
 
 /// The reason why a scheduler that has the request of stream 1 open denies this one.
 fn denied(site: impl FnOnce(&mut Site), change: impl FnOnce(&mut ClientRequest)) -> RequestDenied {
--- a/src/scheduler/tests/request_table.rs
+++ b/src/scheduler/tests/request_table.rs
@@ -1,13 +1,14 @@
-//! The table of pending requests.
+//! The table of open requests.
 
 use super::*;
 use crate::model::{Idempotency, RequestId};
+use crate::scheduler::request_table::OpenRequest;
 
 const MEMORY_LIMIT: usize = 600;
 const BODY_BYTES: usize = 60;
 const MAX_OPEN: usize = 2;
 
-fn pending_request(stream: u64) -> PendingRequest {
+fn open_request(stream: u64) -> OpenRequest {
     let payload = RequestPayload {
         correlation_id: format!("{stream:016x}"),
         class: IDEMPOTENT_CLASS.into(),
@@ -15,13 +16,13 @@
         key: None,
         body: vec![0; BODY_BYTES],
     };
-    PendingRequest::new(origin(stream), payload, Idempotency::Idempotent, DEADLINE)
+    OpenRequest::new(origin(stream), payload, Idempotency::Idempotent, DEADLINE)
 }
 
 #[test]
 fn a_removed_request_frees_all_that_it_occupied() {
     let mut requests = RequestTable::new();
-    let id = requests.insert(pending_request(1));
+    let id = requests.insert(open_request(1));
     assert_eq!(requests.id_at(origin(1)), Some(id));
     assert!(requests.has_correlation_id("0000000000000001"));
 
@@ -36,9 +37,9 @@
 #[test]
 fn ids_are_not_reused() {
     let mut requests = RequestTable::new();
-    let first = requests.insert(pending_request(1));
+    let first = requests.insert(open_request(1));
     requests.remove(first);
-    let second = requests.insert(pending_request(1));
+    let second = requests.insert(open_request(1));
     assert_eq!((first, second), (RequestId(0), RequestId(1)));
 }
 
@@ -49,7 +50,7 @@
     assert!(requests.has_capacity(MEMORY_LIMIT / 6, MAX_OPEN));
     assert!(!requests.has_capacity(MEMORY_LIMIT / 6 + 1, MAX_OPEN));
 
-    let id = requests.insert(pending_request(1));
+    let id = requests.insert(open_request(1));
     assert!(requests.has_capacity(MEMORY_LIMIT / 6 - BODY_BYTES, MAX_OPEN));
     assert!(!requests.has_capacity(MEMORY_LIMIT / 6 - BODY_BYTES + 1, MAX_OPEN));
     requests.remove(id);
@@ -59,15 +60,15 @@
 #[test]
 fn open_requests_are_limited() {
     let mut requests = RequestTable::new();
-    requests.insert(pending_request(1));
+    requests.insert(open_request(1));
     assert!(requests.has_capacity(0, MAX_OPEN));
-    requests.insert(pending_request(2));
+    requests.insert(open_request(2));
     assert!(!requests.has_capacity(0, MAX_OPEN));
 }
 
 #[test]
 fn only_the_first_write_counts_and_only_its_own_retraction() {
-    let mut request = pending_request(1);
+    let mut request = open_request(1);
     request.record_write(0, at_millis(5));
     request.record_write(1, at_millis(9));
     assert_eq!(request.first_written_at(), Some(at_millis(5)));
@@ -79,6 +80,6 @@
 
 #[test]
 fn attempts_are_numbered_from_zero() {
-    let mut request = pending_request(1);
+    let mut request = open_request(1);
     assert_eq!([request.start_attempt(), request.start_attempt()], [0, 1]);
 }
--- a/src/scheduler/tests/timers.rs
+++ b/src/scheduler/tests/timers.rs
@@ -1,7 +1,7 @@
 //! The timer queue.
 
 use super::*;
-use crate::model::RequestId;
+use crate::model::{LoadStatus, RequestId};
 
 const REQUEST: RequestId = RequestId(3);
 const ATTEMPT: AttemptId = AttemptId {
@@ -69,7 +69,7 @@
     let mut scheduler = test_scheduler();
     let sent = sent_attempt(&submit(&mut scheduler, 1, IDEMPOTENT_CLASS));
     let order = start_load_order(&mut scheduler, at_millis(0));
-    scheduler.carry_out(at_millis(0), Action::HealthCheck { worker: sent.worker });
+    scheduler.execute_action(at_millis(0), Action::HealthCheck { worker: sent.worker });
     let Some(Command::HealthCheck { check, .. }) = scheduler.next_command() else {
         panic!("no check")
     };
--- a/src/scheduler/tests/write_admission.rs
+++ b/src/scheduler/tests/write_admission.rs
@@ -85,7 +85,7 @@
         function: FUNCTION,
         instances: 0,
     };
-    scheduler.carry_out(at_millis(0), action);
+    scheduler.execute_action(at_millis(0), action);
     let Some(Command::Load { order, .. }) = scheduler.next_command() else {
         panic!("no load order")
     };
@@ -168,7 +168,7 @@
         worker: first.worker,
         timeout,
     };
-    scheduler.carry_out(at_millis(2), action);
+    scheduler.execute_action(at_millis(2), action);
     let second = sent_attempt(&drain_commands(&mut scheduler)).id;
     assert_eq!(
         scheduler.check_attempt(at_millis(2), second),
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -1,7 +1,7 @@
-//! The scheduler's timers.
+//! The scheduler's timers: one for each open request, attempt, load order and health check, and those of the policy.
 
-use super::{AttemptId, HealthCheckId, LoadOrderId};
-use crate::model::RequestId;
+use super::{AttemptId, HealthCheckId, LoadOrderId, Scheduler};
+use crate::model::{AttemptStatus, Event, RequestId, Time};
 
 /// What a timer is for. Timers of the same expiry fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,3 +17,28 @@
     /// This health check has run out of time.
     HealthCheck(HealthCheckId),
 }
+
+impl Scheduler {
+    /// When [`Scheduler::fire_timers`] is to be called next.
+    pub fn next_timer(&self) -> Option<Time> {
+        self.timers.next_expiry()
+    }
+
+    /// Fires all timers that have expired.
+    pub fn fire_timers(&mut self, now: Time) {
+        while let Some(timer) = self.timers.pop_expired(now) {
+            self.fire_timer(now, timer);
+        }
+        self.run_policy(now);
+    }
+
+    fn fire_timer(&mut self, now: Time, timer: Timer) {
+        match timer {
+            Timer::Policy => self.pending_events.push_back(Event::TimerFired),
+            Timer::Request(id) => self.fail_overdue_request(now, id),
+            Timer::Attempt(id) => self.cancel_attempt(now, id, AttemptStatus::Timeout),
+            Timer::LoadOrder(id) => self.time_out_load_order(now, id),
+            Timer::HealthCheck(id) => self.time_out_health_check(id),
+        }
+    }
+}
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -2,11 +2,11 @@
 //!
 //! The policy decides now, but a command may wait: for its connection to come up, or behind others on it.
 //! Meanwhile its request may end, its worker may begin to drain, the deduplication window of its key may
-//! pass, its deadline may come, or other load orders may use up the rate limit. So the back end asks here
+//! pass, its deadline may come, or other load orders may use up the rate limit. So the backend asks here
 //! immediately before it writes, and reports a command that is denied as not sent. It asks again before it writes the
 //! rest of an attempt that the system did not take at once.
 
-use super::request_table::PendingRequest;
+use super::request_table::OpenRequest;
 use super::{AttemptId, LoadOrderId, Scheduler};
 use crate::model::{Idempotency, Span, Time, WorkerId};
 use thiserror::Error;
@@ -125,7 +125,7 @@
 
 /// Whether a request may be written again if an earlier attempt may have run. The deduplication window counts
 /// from the first such attempt, not from the latest.
-fn check_retry(now: Time, request: &PendingRequest) -> Result<(), WriteDenied> {
+fn check_retry(now: Time, request: &OpenRequest) -> Result<(), WriteDenied> {
     let Some(first_written_at) = request.first_written_at() else {
         return Ok(());
     };
