--- a/src/frontend/lifecycle.rs
+++ b/src/frontend/lifecycle.rs
@@ -113,11 +113,14 @@
 ) {
     if !cause.is_remote() {
         for stream in &streams {
-            let ids = format_args!("connection={} stream={stream}", socket.id());
+            let origin = RequestOrigin {
+                connection: socket.id(),
+                stream: *stream,
+            };
             context
                 .shared
                 .scheduler
-                .record_violation(context.now, Violation::UnansweredClose, ids);
+                .record_violation(context.now, Violation::UnansweredClose(origin));
         }
     }
     cancel_requests(streams, socket, context);
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -10,6 +10,8 @@
 
 mod line_format;
 mod line_writer;
+#[cfg(test)]
+pub(crate) mod tests;
 
 pub use line_writer::{log_lines_dropped, log_lines_failed};
 
--- /dev/null
+++ b/src/logging/tests/capture.rs
@@ -0,0 +1,38 @@
+//! Captures the log in memory, for tests of what is logged.
+
+use crate::logging::line_format::LineFormat;
+use std::io;
+use std::sync::{Arc, Mutex};
+use tracing_subscriber::filter::LevelFilter;
+use tracing_subscriber::fmt;
+use tracing_subscriber::util::SubscriberInitExt;
+
+/// A log that is kept in memory.
+#[derive(Clone, Default)]
+struct MemoryLog(Arc<Mutex<Vec<u8>>>);
+
+impl io::Write for MemoryLog {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.0.lock().unwrap().write(bytes)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+/// The text that this thread logs while the action runs, at every level from `debug`.
+pub(crate) fn captured_log(action: impl FnOnce()) -> String {
+    let log = MemoryLog::default();
+    let writer = log.clone();
+    let subscriber = fmt()
+        .with_max_level(LevelFilter::DEBUG)
+        .event_format(LineFormat)
+        .with_writer(move || writer.clone())
+        .finish();
+    let guard = subscriber.set_default();
+    action();
+    drop(guard);
+    let text = log.0.lock().unwrap().clone();
+    String::from_utf8(text).unwrap()
+}
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -25,8 +25,9 @@
         }
         self.counters.attempts_written += 1;
         debug!(
-            "attempt written request={} attempt={}",
-            attempt.request.0, attempt.number
+            request = attempt.request.0,
+            attempt = attempt.number,
+            "attempt written"
         );
         if let Some(request) = self.requests.get_mut(attempt.request) {
             request.record_write(attempt.number, now);
@@ -87,8 +88,10 @@
         let deadline = (now + timeout).min(request.deadline);
         let payload = request.payload.clone();
         debug!(
-            "attempt begun request={} attempt={} worker={:08x}",
-            id.0, attempt.number, worker.0
+            request = id.0,
+            attempt = attempt.number,
+            worker = format_args!("{:08x}", worker.0),
+            "attempt begun"
         );
         self.attempts.insert(attempt, Attempt::new(worker, now, deadline));
         self.timers.schedule(deadline, Timer::Attempt(attempt));
@@ -120,8 +123,10 @@
         self.timers.cancel(attempt.deadline, Timer::Attempt(id));
         self.counters.count_attempt_end(status);
         debug!(
-            "attempt ended request={} attempt={} status={status:?}",
-            id.request.0, id.number
+            request = id.request.0,
+            attempt = id.number,
+            ?status,
+            "attempt ended"
         );
         let request_finished = !self.requests.contains(id.request);
         let outcome = attempt.into_outcome(now, id, status, request_finished);
--- a/src/scheduler/final_response.rs
+++ b/src/scheduler/final_response.rs
@@ -65,11 +65,11 @@
     pub(super) fn respond(&mut self, origin: RequestOrigin, response: Response) {
         self.counters.count_response(&response.outcome);
         debug!(
-            "request answered connection={} stream={} outcome={} expired={}",
-            origin.connection,
-            origin.stream,
-            response.outcome.name(),
-            response.expired
+            connection = origin.connection.0,
+            stream = origin.stream.0,
+            outcome = %response.outcome.name(),
+            expired = response.expired,
+            "request answered"
         );
         self.commands.push_back(Command::Respond { origin, response });
     }
--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -16,7 +16,7 @@
         match self.check_admission(now, &request) {
             Ok(class) => self.accept(now, request, class),
             Err(denied) => {
-                debug!("request denied ref={:?} why=\"{denied}\"", request.correlation_id);
+                debug!(ref = request.correlation_id, cause = denied.to_string(), "request denied");
                 self.respond(request.origin, denied.response(self.default_retry_after()));
             }
         }
@@ -28,7 +28,7 @@
             return;
         };
         self.counters.requests_cancelled += 1;
-        debug!("request cancelled request={}", id.0);
+        debug!(request = id.0, "request cancelled");
         self.remove_request(id);
         self.handle_event(now, Event::ClientDisconnected(id));
     }
@@ -95,11 +95,11 @@
         let overdue_at = request.overdue_at();
         let id = self.requests.insert(request);
         debug!(
-            "request accepted request={} connection={} stream={} remaining_ms={}",
-            id.0,
-            origin.connection,
-            origin.stream,
-            (deadline - now).as_millis_rounded_up()
+            request = id.0,
+            connection = origin.connection.0,
+            stream = origin.stream.0,
+            remaining_ms = (deadline - now).as_millis_rounded_up(),
+            "request accepted"
         );
         self.timers.schedule(overdue_at, Timer::Request(id));
         id
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -7,6 +7,7 @@
 mod invariants;
 mod load_rate_limiter;
 mod log_limiter;
+mod log_lines;
 mod recent_functions;
 mod request_admission;
 mod request_table;
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -58,8 +58,10 @@
             }
             Err(denied) => {
                 debug!(
-                    "write denied request={} attempt={} why=\"{denied}\"",
-                    attempt.request.0, attempt.number
+                    request = attempt.request.0,
+                    attempt = attempt.number,
+                    cause = denied.to_string(),
+                    "write denied"
                 );
                 false
             }
