--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -10,7 +10,7 @@
 use crate::model::{Span, Time};
 use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
 use crate::runtime::{Context, RuntimeState};
-use crate::scheduler::{AttemptError, FailureCause, HealthCheckId, WriteProgress};
+use crate::scheduler::{ExchangeError, FailureCause, HealthCheckId, WriteProgress};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -101,7 +101,7 @@
         };
         self.unresponsive = true;
         self.correlations.close(&health_check_correlation_id(check));
-        let error = AttemptError {
+        let error = ExchangeError {
             progress: WriteProgress::Written,
             cause: FailureCause::NoResponse,
         };
@@ -133,7 +133,7 @@
 }
 
 /// Reports an exchange that the connection's end has cut off.
-fn report_failure(exchange: Exchange, error: AttemptError, context: &mut Context) {
+fn report_failure(exchange: Exchange, error: ExchangeError, context: &mut Context) {
     let scheduler = &mut context.shared.scheduler;
     match exchange {
         Exchange::Attempt(attempt) => scheduler.attempt_ended(context.now, attempt, Err(error)),
@@ -172,7 +172,10 @@
 
     fn may_write_rest(&self, context: &mut Context) -> bool {
         match self.write_queue.writing() {
-            Some(Exchange::Attempt(attempt)) => context.shared.scheduler.admits_rest(context.now, attempt),
+            Some(Exchange::Attempt(attempt)) => context
+                .shared
+                .scheduler
+                .admits_write_continuation(context.now, attempt),
             _ => true,
         }
     }
@@ -207,7 +210,7 @@
         };
         let open_exchanges = self.correlations.open_exchanges();
         for unfinished in self.write_queue.unfinished(open_exchanges, socket.unsent()) {
-            let error = AttemptError {
+            let error = ExchangeError {
                 progress: unfinished.progress,
                 cause,
             };
--- a/src/backend/connection/answers.rs
+++ b/src/backend/connection/answers.rs
@@ -6,7 +6,7 @@
 use crate::net::ConnectionFlow;
 use crate::runtime::Context;
 use crate::scheduler::{
-    AttemptError, AttemptId, FailureCause, HealthCheckId, LoadOrderId, LoadResult, WorkerResponse,
+    AttemptId, ExchangeError, FailureCause, HealthCheckId, LoadOrderId, LoadResult, WorkerResponse,
     WriteProgress,
 };
 
@@ -61,7 +61,7 @@
     /// Ends a health check that was answered, but not with the message that the worker is alive.
     fn fail_health_check(&mut self, check: HealthCheckId, context: &mut Context) {
         self.health_check = None;
-        let error = AttemptError {
+        let error = ExchangeError {
             progress: WriteProgress::Answered,
             cause: FailureCause::NotAlive,
         };
@@ -76,7 +76,7 @@
             .as_ref()
             .and_then(|id| self.correlations.close(id));
         if let Some(Exchange::Attempt(attempt)) = exchange {
-            let error = AttemptError {
+            let error = ExchangeError {
                 progress: WriteProgress::Answered,
                 cause: FailureCause::UndecodableResponse,
             };
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -10,7 +10,7 @@
 use crate::model::{ConnectionId, Time, WorkerId};
 use crate::net::ConnectionFlow;
 use crate::runtime::Reactor;
-use crate::scheduler::{AttemptError, AttemptId, Command, FailureCause, Scheduler, WriteProgress};
+use crate::scheduler::{AttemptId, Command, ExchangeError, FailureCause, Scheduler, WriteProgress};
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -280,7 +280,7 @@
         Job::Start { attempt, .. } => scheduler.attempt_not_sent(now, *attempt),
         Job::Load { order, .. } => scheduler.load_order_not_sent(now, *order),
         Job::HealthCheck { check, .. } => {
-            let error = AttemptError {
+            let error = ExchangeError {
                 progress: WriteProgress::NotSent,
                 cause: FailureCause::NoConnection,
             };
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -173,7 +173,7 @@
         let stream = match reactor.connect(address) {
             Ok(stream) => stream,
             Err(error) => {
-                if reactor.shared.scheduler.may_log(now) {
+                if reactor.shared.scheduler.admits_log_line(now) {
                     warn!("bus connection failed why=\"{error}\"");
                 }
                 return None;
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -229,7 +229,7 @@
         context: &mut Context,
     ) -> ConnectionFlow {
         context.shared.scheduler.counters().client_connections_malformed += 1;
-        if context.shared.scheduler.may_log(context.now) {
+        if context.shared.scheduler.admits_log_line(context.now) {
             warn!(
                 "malformed front=frames connection={} why=\"{error}\"",
                 socket.id()
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_table::Attempt;
 use super::timers::Timer;
-use super::{AttemptError, AttemptId, Command, ReportedMetric, Scheduler, WorkerResponse};
+use super::{AttemptId, Command, ExchangeError, ReportedMetric, Scheduler, WorkerResponse};
 use crate::model::{AttemptStatus, Event, RequestId, Span, Time, WorkerId};
 use tracing::debug;
 
@@ -49,7 +49,7 @@
     }
 
     /// An attempt has ended with a worker's response, or failed on the way.
-    pub fn attempt_ended(&mut self, now: Time, id: AttemptId, result: Result<WorkerResponse, AttemptError>) {
+    pub fn attempt_ended(&mut self, now: Time, id: AttemptId, result: Result<WorkerResponse, ExchangeError>) {
         if !self.attempts.contains(id) {
             return;
         }
--- a/src/scheduler/errors.rs
+++ b/src/scheduler/errors.rs
@@ -1,4 +1,5 @@
-//! How an exchange with a worker can fail.
+//! How an exchange with a worker can fail: a command and the response that it is owed, be it for an attempt, a load
+//! order or a health check.
 
 use crate::model::{AttemptStatus, LoadStatus};
 use thiserror::Error;
@@ -40,7 +41,7 @@
 /// Why an exchange with a worker ended without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FailureCause {
-    /// No connection to the worker could be had.
+    /// There was no connection to the worker, and none could be opened.
     #[error("no connection")]
     NoConnection,
     /// The connection closed while the exchange was open.
@@ -57,10 +58,10 @@
     NotAlive,
 }
 
-/// An attempt, load order or health check that ended without a usable response.
+/// The failure of an exchange: the attempt, load order or health check ended without a usable response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{cause}")]
-pub struct AttemptError {
+pub struct ExchangeError {
     /// How far the command had been written.
     pub progress: WriteProgress,
     /// What went wrong.
--- a/src/scheduler/health_check_table.rs
+++ b/src/scheduler/health_check_table.rs
@@ -11,7 +11,7 @@
 /// A health check that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthCheck {
-    /// The worker that is asked.
+    /// The worker that is checked.
     pub(super) worker: WorkerId,
     /// When its response is no longer waited for.
     pub(super) deadline: Time,
--- a/src/scheduler/health_checks.rs
+++ b/src/scheduler/health_checks.rs
@@ -2,12 +2,12 @@
 
 use super::health_check_table::HealthCheck;
 use super::timers::Timer;
-use super::{AttemptError, Command, HealthCheckId, Scheduler};
+use super::{Command, ExchangeError, HealthCheckId, Scheduler};
 use crate::model::{Event, HealthCheckStatus, Time, WorkerId};
 
 impl Scheduler {
     /// A health check has been answered, or failed on the way.
-    pub fn health_check_ended(&mut self, now: Time, check: HealthCheckId, result: Result<(), AttemptError>) {
+    pub fn health_check_ended(&mut self, now: Time, check: HealthCheckId, result: Result<(), ExchangeError>) {
         let status = match result {
             Ok(()) => HealthCheckStatus::Alive,
             Err(_) => HealthCheckStatus::Failed,
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -62,7 +62,7 @@
     /// Counts and logs a violation, with the ids of what it concerns.
     pub fn record_violation(&mut self, now: Time, violation: Violation) {
         self.counters.violations += 1;
-        if self.may_log(now) {
+        if self.admits_log_line(now) {
             violation.log();
         }
     }
--- a/src/scheduler/load_orders.rs
+++ b/src/scheduler/load_orders.rs
@@ -2,7 +2,7 @@
 
 use super::load_order_table::LoadOrder;
 use super::timers::Timer;
-use super::{AttemptError, Command, LoadOrderId, LoadResult, Scheduler};
+use super::{Command, ExchangeError, LoadOrderId, LoadResult, Scheduler};
 use crate::model::{Event, FunctionId, LoadStatus, Time, WorkerId};
 
 impl Scheduler {
@@ -16,7 +16,7 @@
         &mut self,
         now: Time,
         order: LoadOrderId,
-        result: Result<LoadResult, AttemptError>,
+        result: Result<LoadResult, ExchangeError>,
     ) {
         let result =
             result.unwrap_or_else(|error| LoadResult::without_instances(error.progress.load_status()));
--- a/src/scheduler/log_limiter.rs
+++ b/src/scheduler/log_limiter.rs
@@ -30,9 +30,9 @@
 }
 
 impl Scheduler {
-    /// Whether a log line that a client has caused may be written. Lines are limited to ten a second; those
-    /// beyond are only counted.
-    pub fn may_log(&mut self, now: Time) -> bool {
+    /// Whether a log line that a client has caused may be written. Ten lines a second are admitted; those beyond
+    /// are only counted.
+    pub fn admits_log_line(&mut self, now: Time) -> bool {
         let allowed = self.log_limiter.try_acquire(now);
         if !allowed {
             self.counters.log_lines_suppressed += 1;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -68,7 +68,7 @@
 
 pub use command::Command;
 pub use counters::Counters;
-pub use errors::{AttemptError, FailureCause, WriteProgress};
+pub use errors::{ExchangeError, FailureCause, WriteProgress};
 pub use ids::{AttemptId, HealthCheckId, LoadOrderId, RequestOrigin};
 pub use invariants::Violation;
 pub use messages::{
--- a/src/scheduler/request_admission.rs
+++ b/src/scheduler/request_admission.rs
@@ -5,7 +5,7 @@
 use crate::model::{ClassId, Site, Span, Time};
 use thiserror::Error;
 
-/// Why a request is answered at once instead of being handed to the policy.
+/// Why a request is answered at once, without the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestDenied {
     /// The configuration has no such class.
@@ -14,7 +14,7 @@
     /// Workers could not tell the responses to two open requests of one correlation id apart.
     #[error("correlation id in use")]
     DuplicateCorrelationId,
-    /// The process is about to end, and its clients were asked to leave.
+    /// The process shuts down, and has asked its clients to leave.
     #[error("shutting down")]
     ShuttingDown,
     /// The client no longer waits.
--- a/src/scheduler/tests/endpoint_states.rs
+++ b/src/scheduler/tests/endpoint_states.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::endpoint_states::EndpointStates;
 
 #[test]
-fn only_a_full_list_removes_the_workers_that_it_lacks() {
+fn only_a_snapshot_removes_the_workers_that_it_lacks() {
     let ready = |n| endpoint_in_state(WorkerId(n), EndpointState::Ready);
     let cases = [
         (EndpointUpdateKind::Delta, true),
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -137,8 +137,8 @@
 }
 
 /// The end of an attempt whose connection broke after so much had been written.
-fn connection_lost(progress: WriteProgress) -> Result<WorkerResponse, AttemptError> {
-    Err(AttemptError {
+fn connection_lost(progress: WriteProgress) -> Result<WorkerResponse, ExchangeError> {
+    Err(ExchangeError {
         progress,
         cause: FailureCause::ConnectionClosed,
     })
--- a/src/scheduler/tests/write_admission.rs
+++ b/src/scheduler/tests/write_admission.rs
@@ -35,7 +35,7 @@
     scheduler.update_endpoints(at_millis(13), EndpointUpdateKind::Snapshot, vec![]);
     assert!(
         !scheduler.admits_write(at_millis(13), sent.id),
-        "absent from the full list means gone"
+        "absent from a snapshot means gone"
     );
 }
 
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Whether the rest of an attempt may be written, of which the system did not take all at once. It stands for the
-    /// whole: the worker begins with the last byte. That its worker drains since does not count, as the first byte
-    /// came before that.
-    pub fn admits_rest(&self, now: Time, id: AttemptId) -> bool {
+    /// Whether the write of an attempt may go on, of which the operating system did not take all at once. The same
+    /// limits hold as for a new write, because the worker begins with the last byte. Only that its worker is draining
+    /// by now does not count: the first byte came before that.
+    pub fn admits_write_continuation(&self, now: Time, id: AttemptId) -> bool {
         let (Some(attempt), Some(request)) = (self.attempts.get(id), self.requests.get(id.request)) else {
             return false;
         };
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -179,7 +179,7 @@
 
     fn schedule_retry(&mut self, cause: &str, reactor: &mut Reactor) {
         let now = reactor.now();
-        if reactor.shared.scheduler.may_log(now) {
+        if reactor.shared.scheduler.admits_log_line(now) {
             warn!("accept failed why=\"{cause}\"");
         }
         self.blocked_since.get_or_insert(now);
@@ -225,7 +225,7 @@
         let max_clients = jsonrpc.config.max_clients;
         let now = reactor.now();
         if !self.make_room_for_jsonrpc_client(max_clients, reactor) {
-            if reactor.shared.scheduler.may_log(now) {
+            if reactor.shared.scheduler.admits_log_line(now) {
                 warn!("accept dropped why=max_clients");
             }
             return;
--- a/src/server/leader.rs
+++ b/src/server/leader.rs
@@ -98,7 +98,7 @@
                     let now = reactor.now();
                     let scheduler = &mut reactor.shared.scheduler;
                     scheduler.counters().vrrp_advertisements_dropped += 1;
-                    if scheduler.may_log(now) {
+                    if scheduler.admits_log_line(now) {
                         warn!("vrrp dropped from={sender} why=\"{error}\"");
                     }
                 }
