--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -41,7 +41,7 @@
     runtime::reactor(scheduler_with_one_worker(&default_settings(), now)).unwrap()
 }
 
-/// The n-th request of a test as a front end submits it.
+/// The n-th request of a test as a frontend submits it.
 fn client_request(n: u64, function: FunctionId, now: Time) -> ClientRequest {
     let deadline = now + Span::from_millis(60_000);
     ClientRequest {
--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -2,7 +2,7 @@
 //! Those of a client that sends malformed input are cancelled and failed.
 
 use crate::support::configuration::Configuration;
-use crate::support::discovery::{StandInDiscovery, WorkerState, change_event};
+use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, request, served};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::SchedulerProcess;
@@ -98,7 +98,7 @@
         .start();
     let mut watch = discovery.accept();
     let mut remaining = disconnect_three_of_four_clients(&scheduler, 60_000);
-    watch.send(&change_event(2, 1, worker.address(), WorkerState::Ready));
+    watch.send(&delta_event(2, 1, worker.address(), WorkerState::Ready));
     let mut command = worker.next_request();
     assert_eq!(command.request_id(), request_id(3));
     command.succeed("eA==");
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -46,7 +46,7 @@
     drop(watch);
     scheduler.wait_for_log("bus connection failed");
     scheduler.limit_descriptors(256);
-    late.expect_ready_answer();
+    late.expect_ready_response();
     let watch = discovery.accept();
     assert_eq!(watch.offset, 1);
 }
--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -72,7 +72,7 @@
 /// does not end the new attempt.
 #[test]
 fn repeated_answer_does_not_end_the_next_attempt() {
-    for status in [WorkerStatus::Full, WorkerStatus::Error, WorkerStatus::Miss] {
+    for status in [WorkerStatus::AtCapacity, WorkerStatus::Error, WorkerStatus::Miss] {
         let worker = StandInWorker::node_agent();
         let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
         let mut client = FrameClient::connect(&scheduler);
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -2,7 +2,7 @@
 
 use crate::support::configuration::Configuration;
 use crate::support::discovery::{
-    StandInDiscovery, WorkerState, change_event, full_list_event, keep_alive_frame,
+    StandInDiscovery, WorkerState, delta_event, keep_alive_frame, snapshot_event,
 };
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
 use crate::support::raw_worker::UnacceptingWorker;
@@ -37,8 +37,8 @@
     let scheduler = start_watching(default_settings(), first.address(), discovery.address());
     let mut watch = discovery.accept();
     assert_eq!(watch.offset, 1);
-    let second_ready = change_event(2, 2, second.address(), WorkerState::Ready);
-    let first_draining = change_event(3, 1, first.address(), WorkerState::Draining);
+    let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
+    let first_draining = delta_event(3, 1, first.address(), WorkerState::Draining);
     let events = [second_ready, first_draining].concat();
     let (half, rest) = events.split_at(30);
     watch.send(half);
@@ -47,7 +47,7 @@
     drop(watch);
     let mut watch = discovery.accept();
     assert_eq!(watch.offset, 3, "from the last event");
-    let old_event = change_event(3, 1, first.address(), WorkerState::Ready);
+    let old_event = delta_event(3, 1, first.address(), WorkerState::Ready);
     let bad_frame = vec![0, 0, 0, 1];
     watch.send(&[old_event, bad_frame].concat());
     let watch = discovery.accept();
@@ -96,7 +96,7 @@
         command.connection
     };
     let old_connection = (1..20).map(&mut serve_request).last().unwrap();
-    watch.send(&change_event(2, 9, worker.address(), WorkerState::Ready));
+    watch.send(&delta_event(2, 9, worker.address(), WorkerState::Ready));
     scheduler.wait_for_counter("endpoint_updates", 2);
     for n in 20..60 {
         assert!(
@@ -105,8 +105,8 @@
         );
     }
     // Late events about the old worker do not affect the new one.
-    let draining = change_event(3, 1, worker.address(), WorkerState::Draining);
-    let gone = change_event(4, 1, worker.address(), WorkerState::Gone);
+    let draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
+    let gone = delta_event(4, 1, worker.address(), WorkerState::Gone);
     watch.send(&[draining, gone].concat());
     scheduler.wait_for_counter("endpoint_updates", 4);
     serve_request(60);
@@ -125,7 +125,7 @@
     let mut client = FrameClient::connect(&scheduler);
     client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 20_000, b""));
     client.assert_ready();
-    let full_list = full_list_event(2, 2, listed.address());
+    let full_list = snapshot_event(2, 2, listed.address());
     watch.send(&full_list[..30]);
     drop(watch);
     let mut watch = discovery.accept();
@@ -163,8 +163,8 @@
         move_discovery(&scheduler, moved.address());
         let mut watch = moved.accept();
         assert_eq!(watch.offset, 1);
-        let second_ready = change_event(2, 2, second.address(), WorkerState::Ready);
-        let first_draining = change_event(3, 1, worker.address(), WorkerState::Draining);
+        let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
+        let first_draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
         watch.send(&[second_ready, first_draining].concat());
         scheduler.wait_for_counter("endpoint_updates", 3);
         let mut client = FrameClient::connect(&scheduler);
@@ -187,8 +187,8 @@
     let mut watch = moved.accept();
     assert_eq!(watch.offset, 1);
     // The old service reports the worker gone; the new one has another event under the same number.
-    old_watch.try_send(&change_event(2, 1, worker.address(), WorkerState::Gone));
-    watch.send(&change_event(2, 2, second.address(), WorkerState::Draining));
+    old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
+    watch.send(&delta_event(2, 2, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
     client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b""));
--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -52,7 +52,7 @@
         return echo(command);
     }
     match command.body() {
-        "ZnVsbA==" => Some(WorkerReply::failure(WorkerStatus::Full)),
+        "ZnVsbA==" => Some(WorkerReply::failure(WorkerStatus::AtCapacity)),
         "ZXJyb3I=" => Some(WorkerReply::failure(WorkerStatus::Error)),
         "c2lsZW5jZQ==" => None,
         body => Some(WorkerReply::ok(body)),
--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -156,7 +156,7 @@
     assert_eq!(client.next_message()["error"]["code"], -32002);
     client.send(&request(&json!(2), IDEMPOTENT_CLASS, REQUEST_ID, 2900, ""));
     for _ in 0..3 {
-        worker.next_command().fail(WorkerStatus::Full);
+        worker.next_command().fail(WorkerStatus::AtCapacity);
     }
     let error = client.next_message()["error"].clone();
     assert_eq!(
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,7 +1,7 @@
 //! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
 use crate::support::configuration::Configuration;
-use crate::support::discovery::{StandInDiscovery, WorkerState, change_event};
+use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, rejected, request, served};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
 use crate::support::raw_worker::RawWorker;
@@ -26,7 +26,7 @@
         .discovery(discovery.address())
         .start();
     let mut watch = discovery.accept();
-    watch.send(&change_event(2, 7, second.address(), WorkerState::Draining));
+    watch.send(&delta_event(2, 7, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 60_000, b""));
@@ -41,7 +41,7 @@
         &text[..text.len() - 1],
         &text.replace("objectiveNs", "objective"),
     ] {
-        assert_eq!(scheduler.reload(bad), ReloadResult::Refused);
+        assert_eq!(scheduler.reload(bad), ReloadResult::Rejected);
     }
     client.send_request(2, &request("exam-submit", "00000000000000aa", 2900, b""));
     assert_eq!(
@@ -52,8 +52,8 @@
     assert_eq!(scheduler.reload(&text), ReloadResult::Applied);
     let mut watch = moved.accept();
     assert_eq!(watch.offset, 2, "from the last event");
-    watch.send(&change_event(3, 1, worker.address(), WorkerState::Draining));
-    watch.send(&change_event(4, 7, second.address(), WorkerState::Ready));
+    watch.send(&delta_event(3, 1, worker.address(), WorkerState::Draining));
+    watch.send(&delta_event(4, 7, second.address(), WorkerState::Ready));
     scheduler.wait_for_counter("endpoint_updates", 4);
     command.succeed("eQ==");
     assert_eq!(
@@ -81,7 +81,7 @@
     let mut config = scheduler.config.clone();
     config["bus"] = json!(moved.address().to_string());
     let text = config.to_string();
-    assert_eq!(scheduler.reload(&text[..text.len() / 2]), ReloadResult::Refused);
+    assert_eq!(scheduler.reload(&text[..text.len() / 2]), ReloadResult::Rejected);
     scheduler.write_config(&text);
     scheduler.wait_for_log("reloaded");
     assert_eq!(moved.accept().offset, 1);
@@ -137,7 +137,7 @@
     config["settings"]["classes"][0]["name"] = json!("other-check");
     config["settings"]["classes"].as_array_mut().unwrap().reverse();
     assert_eq!(scheduler.reload(&config.to_string()), ReloadResult::Applied);
-    first.fail(WorkerStatus::Full);
+    first.fail(WorkerStatus::AtCapacity);
     assert_eq!(
         client.next_frame(),
         Some(rejected(1)),
@@ -191,13 +191,13 @@
     ));
     let mut command = workers[0].next_command();
     scheduler.write_operator_file("[jsonrpc]\nsocket = 7\n");
-    assert_eq!(scheduler.reload(&config), ReloadResult::Refused);
+    assert_eq!(scheduler.reload(&config), ReloadResult::Rejected);
     let no_socket = scheduler.folder.file("precious");
     std::fs::write(&no_socket, "").unwrap();
     scheduler.write_operator_file(&format!("[jsonrpc]\nsocket = {no_socket:?}\n"));
     assert_eq!(
         scheduler.reload(&config),
-        ReloadResult::Refused,
+        ReloadResult::Rejected,
         "the path holds a file that is no socket"
     );
     JsonRpcClient::connect(&scheduler);
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -3,7 +3,7 @@
 use crate::support::configuration::Configuration;
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{
-    FrameClient, ReceivedFrame, code, decode_frames, frame, frame_type, no_new_requests, request, served,
+    FrameClient, ReceivedFrame, code, decode_frames, frame, frame_type, go_away, request, served,
 };
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME, operator_file};
 use crate::support::raw_worker::UnacceptingWorker;
@@ -28,7 +28,7 @@
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b""));
     let mut command = worker.next_command();
     scheduler.signal("TERM");
-    assert_eq!(client.next_frame(), Some(no_new_requests()));
+    assert_eq!(client.next_frame(), Some(go_away()));
     client.assert_not_ready();
     let mut late = FrameClient::connect(&scheduler);
     late.send_request(1, &request(IDEMPOTENT_CLASS, "00000000000000aa", 2900, b""));
@@ -101,7 +101,7 @@
         worker.serve(move |command| echo(command).filter(|_| command.message["rid"] != unserved_id));
         let last_stream = fill_output_buffer(&scheduler, &mut reader, &mut other);
         scheduler.signal("TERM");
-        assert_eq!(other.next_frame(), Some(no_new_requests()));
+        assert_eq!(other.next_frame(), Some(go_away()));
         // Its rejection shows that the time after SIGTERM itself is over.
         other.send_request(2, &request(IDEMPOTENT_CLASS, &request_id(2), 2_400, b""));
         other.expect_rejection(2);
@@ -116,7 +116,7 @@
 
     /// Asserts that the reader's frames serve each of its requests once, the pending one among them.
     fn assert_all_served(&self, mut frames: Vec<ReceivedFrame>) {
-        frames.retain(|frame| frame.frame_type == frame_type::ANSWER);
+        frames.retain(|frame| frame.frame_type == frame_type::RESPONSE);
         let count = frames.len() as u32;
         let expected = self.last_stream - 1;
         assert!(
@@ -200,9 +200,9 @@
     client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 20_000, b""));
     client.assert_ready();
     scheduler.signal("TERM");
-    assert_eq!(client.next_frame(), Some(no_new_requests()));
+    assert_eq!(client.next_frame(), Some(go_away()));
     let config = scheduler.config.to_string();
-    assert_eq!(scheduler.reload("{"), ReloadResult::Refused);
+    assert_eq!(scheduler.reload("{"), ReloadResult::Rejected);
     assert_eq!(scheduler.reload(&config), ReloadResult::Applied);
     scheduler.signal("TERM");
     assert_eq!(scheduler.reload(&config), ReloadResult::Applied);
@@ -214,7 +214,7 @@
     connection.serve(&request_id(1), "eA==");
     connection.serve(&request_id(2), "eA==");
     assert_eq!(client.next_frame(), Some(served(1, b"x")));
-    assert_eq!(late.next_answer(), Some(served(1, b"x")));
+    assert_eq!(late.next_response(), Some(served(1, b"x")));
     assert!(scheduler.wait_for_exit().success());
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
@@ -241,7 +241,7 @@
         let watch = moved.accept();
         assert_eq!(watch.offset, 1);
         old_watch.wait_for_close();
-        assert_eq!(client.next_frame(), Some(no_new_requests()));
+        assert_eq!(client.next_frame(), Some(go_away()));
         command.succeed("eA==");
         assert_eq!(client.next_frame(), Some(served(1, b"x")));
         assert!(scheduler.wait_for_exit().success(), "{signals:?}");
@@ -285,7 +285,7 @@
     assert!(began_at.elapsed() < KILLED_AFTER, "{:?}", began_at.elapsed());
     let answers = frames
         .iter()
-        .filter(|frame| frame.frame_type == frame_type::ANSWER);
+        .filter(|frame| frame.frame_type == frame_type::RESPONSE);
     let answered: BTreeSet<u32> = answers.map(|frame| frame.stream).collect();
     for (n, sent_at) in sender.join().unwrap() {
         let crossed = ended_at.saturating_duration_since(sent_at) < CROSSING;
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -11,14 +11,14 @@
     Gone = 2,
 }
 
-/// What an event holds, as a code of the wire.
+/// How a watch event changes the endpoint list, as a code of the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    FullList = 1,
-    Changes = 2,
+    Snapshot = 1,
+    Delta = 2,
 }
 
-/// The service, which sends nothing by itself.
+/// A discovery service, which sends nothing by itself.
 pub(crate) struct StandInDiscovery {
     listener: TcpListener,
 }
@@ -56,7 +56,7 @@
 }
 
 impl WatchConnection {
-    /// Sends bytes, which need not be a whole frame.
+    /// Sends bytes, which need not be a complete frame.
     pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
@@ -66,35 +66,35 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Waits for the scheduler to leave the connection, by a close or a reset.
+    /// Waits for the scheduler to end the connection, by a close or a reset.
     pub(crate) fn wait_for_close(&mut self) {
         assert_eq!(
             self.stream.read(&mut [0; 64]).unwrap_or(0),
             0,
-            "the watch is left"
+            "the watch has ended"
         );
     }
 }
 
-/// The frame of an event that changes one worker.
-pub(crate) fn change_event(number: u64, worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
+/// The frame of a watch event that changes one worker.
+pub(crate) fn delta_event(number: u64, worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
     event_frame(
-        EventKind::Changes,
+        EventKind::Delta,
         number,
         &worker_record(worker_id, address, state),
     )
 }
 
-/// The frame of an event whose whole list is one ready worker.
-pub(crate) fn full_list_event(number: u64, worker_id: u32, address: SocketAddr) -> Vec<u8> {
+/// The frame of a watch event after which the endpoint list is one ready worker.
+pub(crate) fn snapshot_event(number: u64, worker_id: u32, address: SocketAddr) -> Vec<u8> {
     event_frame(
-        EventKind::FullList,
+        EventKind::Snapshot,
         number,
         &worker_record(worker_id, address, WorkerState::Ready),
     )
 }
 
-/// The frame that shows each second that the service is alive.
+/// The heartbeat that the service sends each second.
 pub(crate) fn keep_alive_frame() -> Vec<u8> {
     [&[0, 0, 0, 9][..], &[0; 9]].concat()
 }
--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -1,6 +1,6 @@
 //! A stand-in client of the frame protocol.
 //!
-//! Requests are encoded by the crate, and one test compares that encoding with literal bytes. Answers are decoded here,
+//! Requests are encoded by the crate, and one test compares that encoding with literal bytes. Responses are decoded here,
 //! with the types and codes written out as the protocol page defines them, so that a fault in the crate's codec shows.
 
 use super::scheduler_process::SchedulerProcess;
@@ -14,21 +14,21 @@
 /// Types of frames.
 pub(crate) mod frame_type {
     pub(crate) const REQUEST: u8 = 0;
-    pub(crate) const ANSWER: u8 = 1;
+    pub(crate) const RESPONSE: u8 = 1;
     pub(crate) const CANCEL: u8 = 2;
-    pub(crate) const READINESS_CHECK: u8 = 6;
-    pub(crate) const READINESS: u8 = 7;
-    pub(crate) const NO_NEW_REQUESTS: u8 = 9;
+    pub(crate) const READINESS_REQUEST: u8 = 6;
+    pub(crate) const READINESS_RESPONSE: u8 = 7;
+    pub(crate) const GO_AWAY: u8 = 9;
 }
 
-/// Codes of answers.
+/// Codes of responses.
 pub(crate) mod code {
     pub(crate) const SERVED: u8 = 79;
     pub(crate) const REJECTED: u8 = 66;
     pub(crate) const FAILED: u8 = 69;
 }
 
-/// The stream of a client's readiness checks; its requests use others.
+/// The stream of a client's readiness requests; its other requests use others.
 const READINESS_STREAM: u32 = 99;
 
 /// A frame that a client has received.
@@ -40,45 +40,41 @@
 }
 
 impl ReceivedFrame {
-    /// The code of an answer.
+    /// The code of a response.
     pub(crate) fn code(&self) -> u8 {
-        assert_eq!(self.frame_type, frame_type::ANSWER);
+        assert_eq!(self.frame_type, frame_type::RESPONSE);
         self.payload[0]
     }
 }
 
-/// The answer 'served' with this body.
+/// The response 'served' with this body.
 pub(crate) fn served(stream: u32, body: &[u8]) -> ReceivedFrame {
-    let payload = [&[code::SERVED, 0], body].concat();
-    ReceivedFrame {
-        frame_type: frame_type::ANSWER,
-        stream,
-        payload,
-    }
+    response(stream, code::SERVED, body)
 }
 
-/// The answer 'rejected' that names no time to stay away.
+/// The response 'rejected' without a Retry-After.
 pub(crate) fn rejected(stream: u32) -> ReceivedFrame {
-    ReceivedFrame {
-        frame_type: frame_type::ANSWER,
-        stream,
-        payload: vec![code::REJECTED, 0],
-    }
+    response(stream, code::REJECTED, b"")
 }
 
-/// The answer 'failed'; on stream 0 it tells of an error of the connection.
+/// The response 'failed'; on stream 0 it reports an error of the connection.
 pub(crate) fn failed(stream: u32) -> ReceivedFrame {
+    response(stream, code::FAILED, b"")
+}
+
+fn response(stream: u32, code: u8, body: &[u8]) -> ReceivedFrame {
+    const NO_FIELDS: u8 = 0;
     ReceivedFrame {
-        frame_type: frame_type::ANSWER,
+        frame_type: frame_type::RESPONSE,
         stream,
-        payload: vec![code::FAILED, 0],
+        payload: [&[code, NO_FIELDS], body].concat(),
     }
 }
 
-/// The notice that the connection takes no new requests.
-pub(crate) fn no_new_requests() -> ReceivedFrame {
+/// The GOAWAY frame: the connection accepts no new requests.
+pub(crate) fn go_away() -> ReceivedFrame {
     ReceivedFrame {
-        frame_type: frame_type::NO_NEW_REQUESTS,
+        frame_type: frame_type::GO_AWAY,
         stream: 0,
         payload: vec![],
     }
@@ -122,11 +118,11 @@
     payload(&list, b"x")
 }
 
-/// Cuts a stream of bytes into frames; the last one must be whole.
+/// Cuts a stream of bytes into frames; the last one must be complete.
 pub(crate) fn decode_frames(mut bytes: &[u8]) -> Vec<ReceivedFrame> {
     let mut frames = vec![];
     while !bytes.is_empty() {
-        frames.push(read_frame(&mut bytes).expect("the last frame is whole"));
+        frames.push(read_frame(&mut bytes).expect("the last frame is complete"));
     }
     frames
 }
@@ -159,7 +155,7 @@
         FrameClient { stream }
     }
 
-    /// Sends bytes, which need not be a whole frame.
+    /// Sends bytes, which need not be a complete frame.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
@@ -184,7 +180,7 @@
 
     /// Asks whether the scheduler is ready.
     pub(crate) fn send_readiness_check(&mut self) {
-        self.send_bytes(&frame(frame_type::READINESS_CHECK, READINESS_STREAM, &[0]));
+        self.send_bytes(&frame(frame_type::READINESS_REQUEST, READINESS_STREAM, &[0]));
     }
 
     /// Waits for the next frame; none once the connection has ended.
@@ -192,9 +188,9 @@
         read_frame(&mut self.stream)
     }
 
-    /// Waits for the next answer, past frames of other types.
-    pub(crate) fn next_answer(&mut self) -> Option<ReceivedFrame> {
-        std::iter::from_fn(|| self.next_frame()).find(|frame| frame.frame_type == frame_type::ANSWER)
+    /// Waits for the next response, past frames of other types.
+    pub(crate) fn next_response(&mut self) -> Option<ReceivedFrame> {
+        std::iter::from_fn(|| self.next_frame()).find(|frame| frame.frame_type == frame_type::RESPONSE)
     }
 
     /// Reads frames until the connection ends.
@@ -204,12 +200,12 @@
 
     /// Waits for the rejection of a request.
     pub(crate) fn expect_rejection(&mut self, stream: u32) {
-        let answer = self.next_frame().expect("an answer comes");
-        assert_eq!((answer.stream, answer.code()), (stream, code::REJECTED));
+        let response = self.next_frame().expect("a response comes");
+        assert_eq!((response.stream, response.code()), (stream, code::REJECTED));
     }
 
-    /// Waits for the answer 'ready' to a readiness check that has been sent; nothing else may come before it.
-    pub(crate) fn expect_ready_answer(&mut self) {
+    /// Waits for the response 'ready' to a readiness request that has been sent; nothing else may come before it.
+    pub(crate) fn expect_ready_response(&mut self) {
         self.expect_readiness(code::SERVED);
     }
 
@@ -226,13 +222,13 @@
     }
 
     fn expect_readiness(&mut self, code: u8) {
-        let answer = self.next_frame().expect("the readiness is answered");
+        let response = self.next_frame().expect("the readiness request has a response");
         let expected = ReceivedFrame {
-            frame_type: frame_type::READINESS,
+            frame_type: frame_type::READINESS_RESPONSE,
             stream: READINESS_STREAM,
             payload: vec![code, 0],
         };
-        assert_eq!(answer, expected, "no other frame has come");
+        assert_eq!(response, expected, "no other frame has come");
     }
 
     /// Ends the input of the scheduler, but still reads.
--- a/tests/support/jsonrpc_client.rs
+++ b/tests/support/jsonrpc_client.rs
@@ -1,4 +1,4 @@
-//! A stand-in client of the JSON-RPC front end.
+//! A stand-in client of the JSON-RPC frontend.
 
 use super::scheduler_process::SchedulerProcess;
 use super::temp_folder::TempFolder;
@@ -9,10 +9,10 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// The name of the front end's socket in the folder of a scheduler that has [`operator_file`].
+/// The name of the frontend's socket in the folder of a scheduler that has [`operator_file`].
 pub(crate) const SOCKET_NAME: &str = "calls.sock";
 
-/// An operator's file that opens the JSON-RPC front end.
+/// An operator's file that opens the JSON-RPC frontend.
 pub(crate) fn operator_file(folder: &TempFolder) -> String {
     format!(
         "[jsonrpc]\nsocket = {:?}\nmax_line = 40000\n",
@@ -40,7 +40,7 @@
     })
 }
 
-/// A client of the JSON-RPC front end.
+/// A client of the JSON-RPC frontend.
 pub(crate) struct JsonRpcClient {
     reader: BufReader<UnixStream>,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends bytes, which need not be a whole line.
+    /// Sends bytes, which need not be a complete line.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         self.reader.get_mut().write_all(bytes).unwrap();
     }
--- a/tests/support/policy_harness.rs
+++ b/tests/support/policy_harness.rs
@@ -20,7 +20,7 @@
     pub(crate) worker: WorkerId,
 }
 
-/// A load that the policy has asked of a worker.
+/// A load order that the policy has given to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestedLoad {
     pub(crate) worker: WorkerId,
@@ -138,7 +138,7 @@
         self.handle(Event::LoadFinished(outcome))
     }
 
-    /// Answers every attempt of a request with a miss for as long as the policy sends it on; the last actions.
+    /// Answers every attempt of a request with a miss for as long as the policy retries it; the last actions.
     pub(crate) fn miss_everywhere(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
         while !workers_sent_to(&actions).is_empty() {
             actions = self.finish_last_attempt(AttemptStatus::Miss);
@@ -161,7 +161,7 @@
     actions.iter().filter_map(worker).collect()
 }
 
-/// The loads that these actions ask for.
+/// The load orders among these actions.
 pub(crate) fn requested_loads(actions: &[Action]) -> Vec<RequestedLoad> {
     let load = |action: &Action| match action {
         Action::Load { worker, function, .. } => Some(RequestedLoad {
--- a/tests/support/process_log.rs
+++ b/tests/support/process_log.rs
@@ -6,16 +6,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How the log is named that the counters are printed in.
+/// What a line with the counters starts with, after its time.
 const COUNTERS: &str = "function-scheduler: counters";
 /// Time between two looks at the log.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How the process took a reload.
+/// What the process did with a new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReloadResult {
     Applied,
-    Refused,
+    Rejected,
 }
 
 /// A log that another thread writes.
@@ -40,7 +40,7 @@
     }
 
     /// The log so far.
-    fn text(&self) -> String {
+    pub(super) fn text(&self) -> String {
         self.text.lock().unwrap().clone()
     }
 
@@ -87,7 +87,7 @@
         if line.contains("function-scheduler: reloaded") {
             Some(ReloadResult::Applied)
         } else if line.contains("reload refused") {
-            Some(ReloadResult::Refused)
+            Some(ReloadResult::Rejected)
         } else {
             None
         }
--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -94,18 +94,18 @@
         serde_json::from_slice(&line).unwrap()
     }
 
-    /// Reads a request and answers it with success; the request must have this id.
+    /// Reads a request and responds with success; the request must have this id.
     pub(crate) fn serve(&mut self, request_id: &str, body: &str) {
         assert_eq!(self.read_line()["rid"], request_id);
         self.succeed(request_id, body);
     }
 
-    /// Answers a request with success and a body in base64.
+    /// Responds to a request with success and a body in base64.
     pub(crate) fn succeed(&mut self, request_id: &str, body: &str) {
         self.stream.write_all(&success_line(request_id, body)).unwrap();
     }
 
-    /// Reads until the connection ends or nothing has come for a while; how many requests came whole.
+    /// Reads until the connection ends or nothing has come for a while; how many requests were complete.
     pub(crate) fn complete_requests_until_quiet(&mut self) -> u64 {
         self.stream.set_read_timeout(Some(QUIET_TIME)).unwrap();
         let mut input = vec![];
@@ -114,8 +114,8 @@
             input.extend_from_slice(&chunk[..count]);
         }
         let lines = input.split_inclusive(|byte| *byte == b'\n');
-        let whole = lines.filter_map(|line| serde_json::from_slice::<Value>(line).ok());
-        whole.filter(|line| line["verb"] == "go").count() as u64
+        let complete = lines.filter_map(|line| serde_json::from_slice::<Value>(line).ok());
+        complete.filter(|line| line["verb"] == "go").count() as u64
     }
 
     /// Waits until unread input is there.
@@ -138,7 +138,7 @@
     }
 }
 
-/// A node agent's answer of success as it stands on the wire.
+/// A node agent's response of success in the bytes of the wire.
 pub(crate) fn success_line(request_id: &str, body: &str) -> Vec<u8> {
     format!("{}\n", json!({"verb": "200", "rid": request_id, "content": body})).into_bytes()
 }
--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -188,6 +188,9 @@
 
 impl Drop for SchedulerProcess {
     fn drop(&mut self) {
+        if thread::panicking() {
+            eprintln!("log of the scheduler:\n{}", self.log.text());
+        }
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,5 +1,5 @@
 //! Stand-in workers: node agents over TCP and JSON-RPC workers over Unix sockets. Every command that they receive
-//! is handed to the test, which answers it.
+//! is handed to the test, which responds to it.
 
 use super::WAIT_LIMIT;
 use super::worker_command::{CommandKind, ReceivedCommand, WorkerReply, kind_of};
@@ -27,24 +27,14 @@
     pub(crate) fn node_agent() -> StandInWorker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = Some(listener.local_addr().unwrap());
-        let (sender, commands) = channel();
-        thread::spawn(move || {
-            for (connection, stream) in listener.incoming().enumerate() {
-                read_commands(OwnedFd::from(stream.unwrap()), connection, sender.clone());
-            }
-        });
+        let commands = collect_commands(move || listener.accept().unwrap().0);
         StandInWorker { address, commands }
     }
 
     /// A JSON-RPC worker on a Unix socket at this path.
     pub(crate) fn jsonrpc(path: &Path) -> StandInWorker {
         let listener = UnixListener::bind(path).unwrap();
-        let (sender, commands) = channel();
-        thread::spawn(move || {
-            for (connection, stream) in listener.incoming().enumerate() {
-                read_commands(OwnedFd::from(stream.unwrap()), connection, sender.clone());
-            }
-        });
+        let commands = collect_commands(move || listener.accept().unwrap().0);
         StandInWorker {
             address: None,
             commands,
@@ -63,7 +53,7 @@
             .expect("the worker receives a command")
     }
 
-    /// Waits for the next request; loads and commands without an answer are dealt with on the way.
+    /// Waits for the next request; loads succeed, and commands without a response are passed over.
     pub(crate) fn next_request(&self) -> ReceivedCommand {
         loop {
             let mut command = self.next_command();
@@ -81,7 +71,7 @@
         self.commands.try_recv().ok()
     }
 
-    /// Whether no command waits: of all that the scheduler sent before it answered what the caller has just read.
+    /// Whether no command waits: of all that the scheduler sent before the response that the caller has just read.
     pub(crate) fn is_idle(&self) -> bool {
         self.commands.try_recv().is_err()
     }
@@ -105,19 +95,31 @@
     }
 }
 
+/// The commands of all connections that this function accepts.
+fn collect_commands<Stream>(accept: impl Fn() -> Stream + Send + 'static) -> Receiver<ReceivedCommand>
+where
+    OwnedFd: From<Stream>,
+{
+    let (sender, commands) = channel();
+    thread::spawn(move || {
+        for connection in 0.. {
+            read_commands(OwnedFd::from(accept()), connection, sender.clone());
+        }
+    });
+    commands
+}
+
 /// Hands the commands of one connection to the test, in a thread that ends with the connection.
 fn read_commands(stream: OwnedFd, connection: usize, sender: Sender<ReceivedCommand>) {
     thread::spawn(move || {
         let stream = Socket::from(stream);
-        let answers = stream.try_clone().unwrap();
+        let responses = stream.try_clone().unwrap();
         for line in BufReader::new(stream).lines() {
             let Ok(line) = line else { return };
             let message = serde_json::from_str(&line).expect("every line is JSON");
-            let stream = answers.try_clone().unwrap();
-            if sender
-                .send(ReceivedCommand::new(message, connection, stream))
-                .is_err()
-            {
+            let stream = responses.try_clone().unwrap();
+            let command = ReceivedCommand::new(message, connection, stream);
+            if sender.send(command).is_err() {
                 return;
             }
         }
@@ -151,7 +153,7 @@
     }
 }
 
-/// Answers requests with the body that they brought, and loads with success.
+/// Responds to requests with the body that they brought, and to loads with success.
 pub(crate) fn echo(command: &ReceivedCommand) -> Option<WorkerReply> {
     match command.kind() {
         CommandKind::Run => Some(WorkerReply::ok(command.body())),
--- a/tests/support/worker_command.rs
+++ b/tests/support/worker_command.rs
@@ -1,4 +1,4 @@
-//! The commands that a stand-in worker receives and the answers that it gives, in the node agents' protocol and in
+//! The commands that a stand-in worker receives and the responses that it sends, in the node agents' protocol and in
 //! JSON-RPC.
 
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
 pub(crate) enum WorkerStatus {
     Ok,
     Miss,
-    Full,
+    AtCapacity,
     Error,
 }
 
@@ -30,7 +30,7 @@
         match self {
             WorkerStatus::Ok => "200",
             WorkerStatus::Miss => "404",
-            WorkerStatus::Full => "503",
+            WorkerStatus::AtCapacity => "503",
             WorkerStatus::Error => "500",
         }
     }
@@ -40,13 +40,13 @@
         match self {
             WorkerStatus::Ok => None,
             WorkerStatus::Miss => Some(-32010),
-            WorkerStatus::Full => Some(-32011),
+            WorkerStatus::AtCapacity => Some(-32011),
             WorkerStatus::Error => Some(-32000),
         }
     }
 }
 
-/// An answer that a worker gives by itself.
+/// The response of a worker that serves by itself.
 pub(crate) struct WorkerReply {
     status: WorkerStatus,
     body: String,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A command that a worker has received, with the connection to answer it on.
+/// A command that a worker has received, with the connection to respond on.
 pub(crate) struct ReceivedCommand {
     /// The line as it came.
     pub(crate) message: Value,
@@ -94,7 +94,7 @@
         kind_of(&self.message)
     }
 
-    /// The id that an answer has to carry, or that a cancel names.
+    /// The id that a response has to carry, or that a cancel names.
     pub(crate) fn request_id(&self) -> String {
         let message = &self.message;
         let id = if self.is_jsonrpc() {
@@ -135,17 +135,17 @@
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Answers with success and a body in base64.
+    /// Responds with success and a body in base64.
     pub(crate) fn succeed(&mut self, body: &str) {
         self.reply(&WorkerReply::ok(body));
     }
 
-    /// Answers with another status.
+    /// Responds with another status.
     pub(crate) fn fail(&mut self, status: WorkerStatus) {
         self.reply(&WorkerReply::failure(status));
     }
 
-    /// Answers in the protocol of the command.
+    /// Responds in the protocol of the command.
     pub(crate) fn reply(&mut self, reply: &WorkerReply) {
         let line = if self.is_jsonrpc() {
             self.jsonrpc_reply(reply)
