--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -86,36 +86,36 @@
 }
 
 /// Encodes the payload of a request with any fields.
-pub(crate) fn payload(list: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    [&encode_fields(list)[..], body].concat()
+pub(crate) fn payload(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    [&encode_fields(fields)[..], body].concat()
 }
 
 /// Encodes the payload of an ordinary request.
-pub(crate) fn request(class: &str, request_id: &str, allow_ms: u64, body: &[u8]) -> Vec<u8> {
-    let allow_ms = allow_ms.to_string();
-    let list = [
+pub(crate) fn request(class: &str, request_id: &str, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
+    let timeout_ms = timeout_ms.to_string();
+    let fields = [
         ("service", class),
         ("ref", request_id),
-        ("allow", &allow_ms),
+        ("allow", &timeout_ms),
         ("lookup", FUNCTION),
         ("replay", IDEMPOTENCY_KEY),
         ("spec", "memory_mb:512;lanes:2;load_ms:640"),
     ];
-    payload(&list, body)
+    payload(&fields, body)
 }
 
 /// Encodes the payload of a request with the body `x` to this function. Different functions have different homes among
 /// the workers.
-pub(crate) fn request_to_function(function: u32, request_id: &str, allow_ms: u64) -> Vec<u8> {
+pub(crate) fn request_to_function(function: u32, request_id: &str, timeout_ms: u64) -> Vec<u8> {
     let function = format!("{function:016x}");
-    let allow_ms = allow_ms.to_string();
-    let list = [
+    let timeout_ms = timeout_ms.to_string();
+    let fields = [
         ("service", IDEMPOTENT_CLASS),
         ("ref", request_id),
-        ("allow", &allow_ms),
+        ("allow", &timeout_ms),
         ("lookup", &function),
     ];
-    payload(&list, b"x")
+    payload(&fields, b"x")
 }
 
 /// Cuts a stream of bytes into frames; the last one must be complete.
--- a/tests/support/jsonrpc_client.rs
+++ b/tests/support/jsonrpc_client.rs
@@ -21,7 +21,7 @@
 }
 
 /// The message of an ordinary request.
-pub(crate) fn request(id: &Value, class: &str, request_id: &str, allow_ms: u64, body: &str) -> Value {
+pub(crate) fn request(id: &Value, class: &str, request_id: &str, timeout_ms: u64, body: &str) -> Value {
     json!({
         "jsonrpc": "2.0",
         "id": id,
@@ -30,7 +30,7 @@
             "class": class,
             "function": FUNCTION,
             "ref": request_id,
-            "allow_ms": allow_ms,
+            "allow_ms": timeout_ms,
             "key": IDEMPOTENCY_KEY,
             "memory_mb": 512,
             "lanes": 2,
