--- a/src/model/actions.rs
+++ b/src/model/actions.rs
@@ -2,7 +2,8 @@
 
 use super::{FunctionId, RequestId, Span, WorkerId};
 
-/// What the scheduler is to do. Actions are carried out in the order in which the policy gives them.
+/// What the policy decides on: the border between the policy and its host, which is the scheduler on real sockets or
+/// the adapter to the simulator. The host executes actions in the order in which the policy gives them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt to a worker. The attempts of a request are numbered from 0, in the order of these
--- a/src/scheduler/errors.rs
+++ b/src/scheduler/errors.rs
@@ -4,15 +4,14 @@
 use crate::model::{AttemptStatus, LoadStatus};
 use thiserror::Error;
 
-/// How far the bytes of a command had come when its exchange with the worker failed. This alone decides
-/// whether a retry is safe.
+/// How far the bytes of a command had come when its exchange failed. This alone decides whether a retry is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
     /// No byte was handed to the operating system.
     NotSent,
-    /// Some bytes, not all: the worker cannot parse what it receives, so the command never ran.
+    /// Some bytes were, not all: the worker cannot parse what it receives, so the command never ran.
     PartiallyWritten,
-    /// All bytes: the command may have run.
+    /// All bytes were handed to the operating system: the command may have run.
     Written,
     /// A response came that could not be used: the command may have run.
     Answered,
--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -48,15 +48,13 @@
 
     /// The class of a request that may be accepted.
     fn check_admission(&self, now: Time, request: &ClientRequest) -> Result<ClassId, RequestDenied> {
-        if self
-            .shutdown_deadline
-            .is_some_and(|shutdown_deadline| shutdown_deadline <= now)
-        {
+        if self.shutdown_deadline.is_some_and(|deadline| deadline <= now) {
             return Err(RequestDenied::ShuttingDown);
         }
         check_request(now, request, &self.site, &self.requests)
     }
 
+    /// Enters an admitted request into the table, and notifies the policy of it.
     fn accept(&mut self, now: Time, request: ClientRequest, class: ClassId) {
         let ClientRequest {
             origin,
@@ -74,7 +72,7 @@
             body: parameters.body,
         };
         let idempotency = self.site.settings.classes[usize::from(class.0)].idempotency;
-        let id = self.open_request(now, OpenRequest::new(origin, payload, idempotency, deadline));
+        let id = self.insert_request(now, OpenRequest::new(origin, payload, idempotency, deadline));
         self.load_orders.record_request(now, function);
         let incoming = IncomingRequest {
             id,
@@ -90,7 +88,7 @@
     }
 
     /// Enters a request into the table, with the timer that fails it if the policy does not end it.
-    fn open_request(&mut self, now: Time, request: OpenRequest) -> RequestId {
+    fn insert_request(&mut self, now: Time, request: OpenRequest) -> RequestId {
         let OpenRequest { origin, deadline, .. } = request;
         let overdue_at = request.overdue_at();
         let id = self.requests.insert(request);
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -38,6 +38,7 @@
 }
 
 impl Violation {
+    /// Logs the violation under its kind, with the ids of what it concerns.
     fn log(self) {
         let kind = self.to_string();
         match self {
@@ -81,6 +82,7 @@
         }
     }
 
+    /// What is wrong with an attempt whose last byte has been written, if anything is.
     fn violation_of_write(&self, now: Time, id: AttemptId) -> Option<Violation> {
         let Some(attempt) = self.attempts.get(id) else {
             return Some(Violation::WrittenAfterEnd(id));
--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 /// How long written load orders are remembered while there is no limit: a new configuration may bring one.
-const UNLIMITED_MEMORY: Span = Span::from_millis(60_000);
+const RETENTION_WITHOUT_LIMIT: Span = Span::from_millis(60_000);
 
 /// Counts requests and load orders within the limit's window.
 #[derive(Debug, Default)]
@@ -21,8 +21,8 @@
 
     /// Whether one more load order may be written under this limit; if so, it is counted as written.
     pub(super) fn try_acquire(&mut self, now: Time, limit: Option<LoadRateLimit>) -> bool {
-        let memory = limit.map_or(UNLIMITED_MEMORY, |limit| limit.window);
-        let oldest = now - memory;
+        let retention = limit.map_or(RETENTION_WITHOUT_LIMIT, |limit| limit.window);
+        let oldest = now - retention;
         self.load_orders.retain(|written_at| *written_at >= oldest);
         if limit.is_some_and(|limit| !self.has_capacity(now, limit)) {
             return false;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -180,6 +180,7 @@
         self.commands.pop_front()
     }
 
+    /// Notifies the policy of an event, and executes what it decides on.
     fn handle_event(&mut self, now: Time, event: Event) {
         self.pending_events.push_back(event);
         self.run_policy(now);
@@ -198,6 +199,7 @@
         self.load_rate_limiter.forget_old_requests(now, limit);
     }
 
+    /// Turns one of the policy's actions into state and commands.
     fn execute_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Send { id, worker, timeout } => self.start_attempt(now, id, worker, timeout),
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -32,6 +32,7 @@
         self.run_policy(now);
     }
 
+    /// Does what the timer was set for.
     fn fire_timer(&mut self, now: Time, timer: Timer) {
         match timer {
             Timer::Policy => self.pending_events.push_back(Event::TimerFired),
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -86,6 +86,7 @@
         self.check_load_order(now, order).is_ok()
     }
 
+    /// Whether an attempt may be written, and why not.
     pub(super) fn check_attempt(&self, now: Time, id: AttemptId) -> Result<(), WriteDenied> {
         let attempt = self.attempts.get(id).ok_or(WriteDenied::CommandEnded)?;
         if now >= attempt.deadline {
@@ -96,6 +97,7 @@
         self.check_worker(attempt.worker)
     }
 
+    /// Whether a load order may be written, and why not. If it may, it is counted against the rate limit.
     pub(super) fn check_load_order(&mut self, now: Time, id: LoadOrderId) -> Result<(), WriteDenied> {
         let order = self.load_orders.get(id).ok_or(WriteDenied::CommandEnded)?;
         if order.is_query() {
