--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -1,8 +1,8 @@
 //! The sending side of a client's connection.
 
-use super::super::frame_codec::{self, RequestFrame};
 use super::connection_state::ConnectionState;
 use super::{Clients, request_body, response_reader};
+use crate::environment::frame_codec::{self, RequestFrame};
 use crate::recorder::{Event, Incarnation};
 use crate::request::RequestClass;
 use std::ops::RangeInclusive;
--- a/crates/fault-soak/src/environment/client/connection_state.rs
+++ b/crates/fault-soak/src/environment/client/connection_state.rs
@@ -1,7 +1,7 @@
 //! The state of a client's connection that its sender and its reader share.
 
-use super::super::switches::ClientSwitches;
 use super::Clients;
+use crate::environment::switches::ClientSwitches;
 use crate::recorder::Event;
 use crate::request::{ConnectionId, RequestId};
 use std::collections::HashMap;
--- a/crates/fault-soak/src/environment/client/response_reader.rs
+++ b/crates/fault-soak/src/environment/client/response_reader.rs
@@ -1,8 +1,8 @@
 //! The reading side of a client's connection.
 
-use super::super::frame_codec::{self, ReceivedFrame};
 use super::connection_state::ConnectionState;
 use super::request_body;
+use crate::environment::frame_codec::{self, ReceivedFrame};
 use crate::recorder::Event;
 use crate::request::RequestId;
 use std::collections::HashMap;
--- a/crates/fault-soak/src/environment/health.rs
+++ b/crates/fault-soak/src/environment/health.rs
@@ -1,7 +1,7 @@
 //! Checks of the schedulers at rest. What is wrong is recorded as [`ProcessEvent::Unhealthy`].
 
 use super::{Environment, Scheduler};
-use crate::recorder::ProcessEvent;
+use crate::recorder::{HealthProblem, ProcessEvent};
 use std::sync::Arc;
 
 /// Threads of a scheduler: its event loop and its log.
@@ -30,15 +30,16 @@
         let max_descriptors = BASE_DESCRIPTORS + self.workers.len() * CONNECTIONS_PER_WORKER;
         let (descriptors, threads) = (scheduler.descriptor_count(), scheduler.thread_count());
         if descriptors > max_descriptors || threads > MAX_THREADS {
-            let reason = format!("{descriptors} descriptors, {threads} threads at rest");
-            scheduler.record(ProcessEvent::Unhealthy { reason });
+            scheduler.record(ProcessEvent::Unhealthy(HealthProblem::TooManyResources {
+                descriptors,
+                threads,
+            }));
         }
     }
 
     fn check_watch(&self, scheduler: &Scheduler) {
         if !self.discovery.is_watched_by(scheduler.index) {
-            let reason = "watches no discovery service".to_owned();
-            scheduler.record(ProcessEvent::Unhealthy { reason });
+            scheduler.record(ProcessEvent::Unhealthy(HealthProblem::NoWatch));
         }
     }
 }
--- a/crates/fault-soak/src/environment/mod.rs
+++ b/crates/fault-soak/src/environment/mod.rs
@@ -1,5 +1,11 @@
 //! The environment of a run: real schedulers with stand-ins for everything around them. It owns the processes, sockets and
 //! tasks; faults act on it, and what happens in it is recorded.
+//!
+//! - [`scheduler`]: a scheduler under test, with its files, its log and its process.
+//! - [`client`], [`worker`] and [`discovery`]: the stand-ins that the schedulers talk to; [`proxy`]: the network to a worker.
+//! - [`switches`]: what faults change in the stand-ins.
+//! - [`settings`]: the configuration that the schedulers are given.
+//! - [`health`]: checks of the schedulers at rest.
 
 mod client;
 mod discovery;
@@ -39,7 +45,7 @@
 pub(crate) struct ListedWorker {
     pub(crate) stand_in: Arc<Worker>,
     pub(crate) address: SocketAddr,
-    /// The id of its present process.
+    /// The id of its current process.
     pub(crate) id: AtomicU32,
     /// Held while its process is being replaced.
     pub(crate) replacement: tokio::sync::Mutex<()>,
@@ -149,7 +155,7 @@
             })
             .collect();
         for exit in exits {
-            // A panic has been printed.
+            // A task fails by a panic only, which the runtime has printed.
             let _ = exit.await;
         }
     }
--- a/crates/fault-soak/src/environment/scheduler/lifecycle.rs
+++ b/crates/fault-soak/src/environment/scheduler/lifecycle.rs
@@ -1,9 +1,9 @@
 //! Start, readiness and end of a scheduler's process.
 
-use super::super::frame_codec::{self, ReceivedFrame};
 use super::Scheduler;
 use super::process::SchedulerProcess;
-use crate::recorder::{Incarnation, ProcessEvent};
+use crate::environment::frame_codec::{self, ReceivedFrame};
+use crate::recorder::{HealthProblem, Incarnation, ProcessEvent};
 use anyhow::{Context, Result};
 use fault_control::CONTROL_VARIABLE;
 use nix::sys::signal::Signal;
@@ -33,7 +33,7 @@
             child.id().context("the process has no id")?,
         ));
         self.set_process(Arc::clone(&process));
-        self.record_of(incarnation, ProcessEvent::Started);
+        self.record_for(incarnation, ProcessEvent::Started);
         if let Some(log) = child.stderr.take() {
             tokio::spawn(Arc::clone(self).read_log(incarnation, log));
         }
@@ -64,11 +64,11 @@
     }
 
     fn set_process(&self, process: Arc<SchedulerProcess>) {
-        let mut present = self
+        let mut current = self
             .process
             .lock()
             .expect("no task panics while it holds the lock");
-        *present = Some(process);
+        *current = Some(process);
     }
 
     async fn wait_for_exit(self: Arc<Scheduler>, process: Arc<SchedulerProcess>, mut child: Child) {
@@ -78,7 +78,7 @@
             success: status.is_ok_and(|status| status.success()),
             was_requested: process.exit_was_requested(),
         };
-        self.record_of(process.incarnation, event);
+        self.record_for(process.incarnation, event);
     }
 
     async fn wait_until_ready(&self, process: &SchedulerProcess) {
@@ -88,15 +88,15 @@
                 return;
             }
             if reports_readiness(self.address).await {
-                self.record_of(process.incarnation, ProcessEvent::Ready);
+                self.record_for(process.incarnation, ProcessEvent::Ready);
                 process.set_ready();
                 self.set_in_rotation(true);
                 return;
             }
             sleep(POLL_INTERVAL).await;
         }
-        let reason = format!("not ready in {READY_TIMEOUT:?}");
-        self.record_of(process.incarnation, ProcessEvent::Unhealthy { reason });
+        let event = ProcessEvent::Unhealthy(HealthProblem::NotReadyInTime);
+        self.record_for(process.incarnation, event);
     }
 
     /// Sends SIGTERM, and waits for the exit. The scheduler leaves the rotation after `rotation_delay`: a load balancer
@@ -106,15 +106,16 @@
             return;
         };
         process.request_exit();
-        self.record_of(process.incarnation, ProcessEvent::Terminated);
+        self.record_for(process.incarnation, ProcessEvent::Terminated);
         process.signal(Signal::SIGTERM);
         let terminated_at = Instant::now();
         sleep(rotation_delay).await;
         self.set_in_rotation(false);
         while process.is_running() {
-            if terminated_at.elapsed() > TERMINATION_TIMEOUT {
-                let reason = format!("still running {:?} after SIGTERM", terminated_at.elapsed());
-                self.record_of(process.incarnation, ProcessEvent::Unhealthy { reason });
+            let after_sigterm = terminated_at.elapsed();
+            if after_sigterm > TERMINATION_TIMEOUT {
+                let problem = HealthProblem::NotGoneInTime { after_sigterm };
+                self.record_for(process.incarnation, ProcessEvent::Unhealthy(problem));
                 self.kill().await;
             }
             sleep(POLL_INTERVAL).await;
@@ -128,7 +129,7 @@
         };
         process.request_exit();
         self.set_in_rotation(false);
-        self.record_of(process.incarnation, ProcessEvent::Killed);
+        self.record_for(process.incarnation, ProcessEvent::Killed);
         process.signal(Signal::SIGKILL);
         while process.is_running() {
             sleep(POLL_INTERVAL).await;
--- a/crates/fault-soak/src/environment/scheduler/log_reader.rs
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -1,14 +1,14 @@
 //! The reader of a scheduler's log: it keeps the last lines and recognises the reports of violations and panics.
 
 use super::Scheduler;
-use crate::recorder::{Incarnation, ProcessEvent};
+use crate::recorder::{HealthProblem, Incarnation, ProcessEvent};
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::ChildStderr;
 
 /// Lines that are kept.
-const MAX_LINES: usize = 400;
+pub(super) const MAX_LINES: usize = 400;
 /// How the log reports that an invariant is violated, or that the code has panicked.
 const VIOLATION_MARKS: [&str; 2] = ["violation kind=", "panic "];
 
@@ -19,7 +19,8 @@
 }
 
 impl LogTail {
-    fn push(&self, line: String) {
+    /// Appends a line, and drops the first one if there are too many.
+    pub(super) fn push(&self, line: String) {
         let mut lines = self.lock();
         if lines.len() >= MAX_LINES {
             lines.pop_front();
@@ -43,12 +44,18 @@
         let mut lines = BufReader::new(log).lines();
         while let Ok(Some(line)) = lines.next_line().await {
             self.log_stall.wait_until_off().await;
-            if VIOLATION_MARKS.iter().any(|mark| line.contains(mark)) {
-                let reason = line.clone();
-                self.record_of(incarnation, ProcessEvent::Unhealthy { reason });
+            if reports_violation(&line) {
+                let log_line = line.clone();
+                let problem = HealthProblem::ReportedViolation { log_line };
+                self.record_for(incarnation, ProcessEvent::Unhealthy(problem));
             }
             let seconds = self.recorder.now().as_secs_f64();
             self.log_tail.push(format!("{seconds:.3} {line}"));
         }
     }
 }
+
+/// Whether a line of a log reports a violation or a panic.
+pub(super) fn reports_violation(line: &str) -> bool {
+    VIOLATION_MARKS.iter().any(|mark| line.contains(mark))
+}
--- a/crates/fault-soak/src/environment/scheduler/mod.rs
+++ b/crates/fault-soak/src/environment/scheduler/mod.rs
@@ -1,8 +1,10 @@
-//! A scheduler under test: its address, its files, and its present process, which has the shim preloaded.
+//! A scheduler under test: its address, its files, and its current process, which has the shim preloaded.
 
 mod lifecycle;
 mod log_reader;
 mod process;
+#[cfg(test)]
+mod tests;
 
 use super::switches::FaultSwitch;
 use crate::recorder::{Event, Incarnation, ProcessEvent, Recorder};
@@ -43,7 +45,7 @@
     pub(crate) log_stall: FaultSwitch,
     /// Whether new clients connect here, as behind a load balancer.
     is_in_rotation: AtomicBool,
-    /// The present process, or the last; none before the first start.
+    /// The current process, or the last; none before the first start.
     process: Mutex<Option<Arc<SchedulerProcess>>>,
     folder: TempDir,
     control_file: File,
@@ -157,14 +159,14 @@
         self.process().map_or(0, |process| process.count_entries("task"))
     }
 
-    /// Records an event of its present process.
+    /// Records an event of its current process.
     pub(super) fn record(&self, event: ProcessEvent) {
         if let Some(process) = self.process() {
-            self.record_of(process.incarnation, event);
+            self.record_for(process.incarnation, event);
         }
     }
 
-    fn record_of(&self, incarnation: Incarnation, event: ProcessEvent) {
+    fn record_for(&self, incarnation: Incarnation, event: ProcessEvent) {
         self.recorder.record(Event::Process { incarnation, event });
     }
 }
--- a/crates/fault-soak/src/invariants/process_exit.rs
+++ b/crates/fault-soak/src/invariants/process_exit.rs
@@ -29,7 +29,7 @@
             ProcessEvent::Started
             | ProcessEvent::Ready
             | ProcessEvent::Terminated
-            | ProcessEvent::Unhealthy { .. } => {}
+            | ProcessEvent::Unhealthy(_) => {}
         }
     }
     violations
--- a/crates/fault-soak/src/invariants/process_health.rs
+++ b/crates/fault-soak/src/invariants/process_health.rs
@@ -10,11 +10,11 @@
 fn check_record(record: &Record) -> Option<Violation> {
     let Event::Process {
         incarnation,
-        event: ProcessEvent::Unhealthy { reason },
+        event: ProcessEvent::Unhealthy(problem),
     } = &record.event
     else {
         return None;
     };
-    let details = format!("{incarnation:?} {reason}");
+    let details = format!("{incarnation:?} {problem:?}");
     Some(Violation::new(Invariant::ProcessHealth, record.at, details))
 }
--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the oracle: it finds each violation, and none in a correct run.
 
 use super::{Invariant, check, check_recovery};
-use crate::recorder::{Event, FaultPhase, Incarnation, ProcessEvent, Record};
+use crate::recorder::{Event, FaultPhase, HealthProblem, Incarnation, ProcessEvent, Record};
 use crate::request::{ConnectionId, RequestClass, RequestId, ResponseStatus};
 use crate::timer_lag::TimerLag;
 use std::time::Duration;
@@ -224,9 +224,7 @@
     assert_eq!(violated(&delayed(5_700)), [Invariant::Draining]);
     assert_eq!(violated(&[exited(900, false, false)]), [Invariant::ProcessExit]);
     assert_eq!(violated(&[exited(900, false, true)]), [Invariant::ProcessExit]);
-    let unhealthy = ProcessEvent::Unhealthy {
-        reason: "not ready in 10s".to_owned(),
-    };
+    let unhealthy = ProcessEvent::Unhealthy(HealthProblem::NotReadyInTime);
     assert_eq!(violated(&[process(900, unhealthy)]), [Invariant::ProcessHealth]);
 }
 
--- a/crates/fault-soak/src/recorder.rs
+++ b/crates/fault-soak/src/recorder.rs
@@ -82,9 +82,26 @@
         success: bool,
         was_requested: bool,
     },
-    /// It is not ready or gone in time, holds too much at rest, or reports a violation itself.
-    Unhealthy {
-        reason: String,
+    Unhealthy(HealthProblem),
+}
+
+/// What is wrong with a scheduler's process.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum HealthProblem {
+    NotReadyInTime,
+    NotGoneInTime {
+        after_sigterm: Duration,
+    },
+    /// It holds too much at rest.
+    TooManyResources {
+        descriptors: usize,
+        threads: usize,
+    },
+    /// It does not watch the endpoint list.
+    NoWatch,
+    /// It has logged a violation or a panic.
+    ReportedViolation {
+        log_line: String,
     },
 }
 
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -78,7 +78,7 @@
         })
         .collect();
     for fault in faults {
-        // A panic has been printed.
+        // A task fails by a panic only, which the runtime has printed.
         let _ = fault.await;
     }
 }
