--- a/src/frontend/lifecycle.rs
+++ b/src/frontend/connection_timers.rs
@@ -1,34 +1,19 @@
-//! When a client's connection ends: timers and the cancellation of open requests, alike for both protocols.
+//! When a client's connection times out, alike for both protocols.
 
 use super::limits::{LINGER_TIMEOUT, MESSAGE_TIMEOUT};
-use crate::model::{Span, StreamId, Time};
-use crate::net::{BufferedStream, CloseCause};
-use crate::runtime::Context;
-use crate::scheduler::{RequestOrigin, Violation};
-use std::collections::BTreeSet;
+use crate::model::{Span, Time};
+use crate::net::{MessageDeadline, PartialMessage};
 
 #[cfg(test)]
 mod tests;
 
-/// A message of which the end has not come yet.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PartialMessage {
-    /// There is none.
-    None,
-    /// It began with the input that has just come.
-    Begun,
-    /// It may have begun before.
-    Continued,
-}
-
 /// The timers of a client's connection.
 ///
 /// Functions that take an idle timeout take none while requests are open.
 #[derive(Debug)]
 pub(super) struct ConnectionTimers {
     last_activity: Time,
-    /// When the message that has begun must be complete.
-    message_deadline: Option<Time>,
+    message_deadline: MessageDeadline,
     /// When a connection that is closing ends even if the client does not read.
     close_deadline: Option<Time>,
 }
@@ -37,7 +22,7 @@
     pub(super) fn new(now: Time) -> ConnectionTimers {
         ConnectionTimers {
             last_activity: now,
-            message_deadline: None,
+            message_deadline: MessageDeadline::new(MESSAGE_TIMEOUT),
             close_deadline: None,
         }
     }
@@ -48,17 +33,12 @@
 
     /// Sets the deadline of a message that has begun.
     pub(super) fn track_message(&mut self, message: PartialMessage, now: Time) {
-        let from_now = now + MESSAGE_TIMEOUT;
-        self.message_deadline = match message {
-            PartialMessage::None => None,
-            PartialMessage::Begun => Some(from_now),
-            PartialMessage::Continued => self.message_deadline.or(Some(from_now)),
-        };
+        self.message_deadline.track(message, now);
     }
 
     /// Whether the message that is incomplete began at `now`.
     pub(super) fn message_began_at(&self, now: Time) -> bool {
-        self.message_deadline == Some(now + MESSAGE_TIMEOUT)
+        self.message_deadline.began_at(now)
     }
 
     /// Starts the time within which the client may read the rest of its responses.
@@ -97,46 +77,8 @@
     /// The message's deadline, which no longer counts once the connection is closing.
     fn pending_message_deadline(&self) -> Option<Time> {
         match self.close_deadline {
-            None => self.message_deadline,
+            None => self.message_deadline.get(),
             Some(_) => None,
         }
     }
 }
-
-/// Ends the requests that are open on a connection which is closed. If it is not the client that has ended it, they
-/// should have had their responses before.
-pub(super) fn end_requests(
-    streams: BTreeSet<StreamId>,
-    cause: CloseCause,
-    socket: &BufferedStream,
-    context: &mut Context,
-) {
-    if !cause.is_remote() {
-        for stream in &streams {
-            let origin = RequestOrigin {
-                connection: socket.id(),
-                stream: *stream,
-            };
-            context
-                .shared
-                .scheduler
-                .record_violation(context.now, Violation::UnansweredClose(origin));
-        }
-    }
-    cancel_requests(streams, socket, context);
-}
-
-/// Cancels requests of a connection whose client no longer waits for them.
-pub(super) fn cancel_requests(
-    streams: impl IntoIterator<Item = StreamId>,
-    socket: &BufferedStream,
-    context: &mut Context,
-) {
-    for stream in streams {
-        let origin = RequestOrigin {
-            connection: socket.id(),
-            stream,
-        };
-        context.shared.scheduler.cancel(context.now, origin);
-    }
-}
--- /dev/null
+++ b/src/frontend/jsonrpc_connection/tests.rs
@@ -0,0 +1,53 @@
+use super::batches::{BatchId, Batches};
+use super::line_reader::LineReader;
+use crate::frontend::jsonrpc_codec::RequestError;
+use crate::net::PartialMessage;
+use serde_json::json;
+
+const BATCH: BatchId = BatchId(1);
+
+#[test]
+fn a_reader_gives_complete_lines_and_leaves_the_rest() {
+    let mut reader = LineReader::new(4);
+    let mut input = b"ab\nlonger\ncd".to_vec();
+    assert_eq!(reader.next_line(&mut input), Some(Ok(b"ab".to_vec())));
+    assert_eq!(reader.next_line(&mut input), Some(Err(RequestError::LineTooLong)));
+    assert_eq!(reader.next_line(&mut input), None);
+    assert_eq!(input, b"cd");
+    assert_eq!(reader.partial_line(&input, 12), PartialMessage::Begun);
+    assert_eq!(reader.partial_line(&input, 2), PartialMessage::Continued);
+    assert_eq!(reader.partial_line(b"", 2), PartialMessage::None);
+}
+
+#[test]
+fn a_long_line_is_reported_once_and_skipped_to_its_end() {
+    let mut reader = LineReader::new(4);
+    let mut input = b"longer".to_vec();
+    assert_eq!(reader.drop_long_line(&mut input), Err(RequestError::LineTooLong));
+    assert!(input.is_empty());
+    assert_eq!(reader.partial_line(&input, 6), PartialMessage::Begun);
+    input.extend_from_slice(b"still more");
+    assert_eq!(reader.drop_long_line(&mut input), Ok(()));
+    input.extend_from_slice(b"end\nab\n");
+    assert_eq!(reader.next_line(&mut input), Some(Ok(b"ab".to_vec())));
+}
+
+#[test]
+fn a_batch_is_answered_once_its_last_response_has_come() {
+    let mut batches = Batches::default();
+    batches.begin(BATCH, 2);
+    assert_eq!(batches.add_response(BATCH, json!(1)), None);
+    assert_eq!(batches.requests_handled(BATCH), None);
+    assert_eq!(batches.add_response(BATCH, json!(2)), Some(json!([1, 2])));
+    assert_eq!(batches.add_response(BATCH, json!(3)), None, "complete before");
+}
+
+#[test]
+fn a_batch_that_is_answered_while_it_is_handled_waits_for_its_last_request() {
+    let mut batches = Batches::default();
+    batches.begin(BATCH, 1);
+    assert_eq!(batches.add_response(BATCH, json!(1)), None);
+    assert_eq!(batches.requests_handled(BATCH), Some(json!([1])));
+    batches.begin(BATCH, 0);
+    assert_eq!(batches.requests_handled(BATCH), None, "no responses");
+}
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -2,19 +2,22 @@
 //! and responses into bytes.
 //!
 //! Each protocol has a codec and, apart from it, a connection. Binary frames come over TCP, JSON-RPC over a
-//! Unix socket.
+//! Unix socket. What is alike for both protocols is in `client_connection`: when a connection ends, and what
+//! becomes of its open requests then.
 
 mod client_connection;
+mod connection_timers;
 mod conversions;
+mod delivery;
 pub mod frame_codec;
 mod frame_connection;
 pub mod jsonrpc_codec;
 mod jsonrpc_connection;
-mod lifecycle;
 mod limits;
+mod session;
 mod stream_ids;
 pub mod unix_socket;
 
-pub use client_connection::{deliver, notify_draining};
-pub use frame_connection::FrameConnection;
-pub use jsonrpc_connection::JsonRpcConnection;
+pub use delivery::{deliver, notify_draining};
+pub(crate) use frame_connection::FrameConnection;
+pub(crate) use jsonrpc_connection::JsonRpcConnection;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,11 +9,13 @@
 mod buffered_stream;
 mod clock;
 mod connection;
+mod message_deadline;
 mod reactor;
 mod stream;
 
 pub use buffered_stream::{BufferLimits, BufferedStream};
 pub use clock::SystemClock;
 pub use connection::{CloseCause, Connection, ConnectionFlow, Context, SharedState};
+pub use message_deadline::{MessageDeadline, PartialMessage};
 pub use reactor::{ListenerId, PipeId, Reactor, ReactorEvent, UdpSocketId};
 pub use stream::Stream;
