--- a/src/client.rs
+++ b/src/client.rs
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the operating system, where it refuses the event queue on which the client waits.
+    /// Those of the operating system, where it provides no event queue on which the client waits.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         Ok(Client {
             pool: Pool::new(Limits::for_site(&site, MAX_CONNECTIONS)),
@@ -129,7 +129,7 @@
         self.run_commands();
     }
 
-    /// Takes a request. [`Client::poll`] gives its one response, unless it is cancelled before.
+    /// Submits a request. [`Client::poll`] gives its one response, unless it is cancelled before.
     pub fn submit(&mut self, parameters: RequestParameters) -> SubmittedRequestId {
         self.last_request += 1;
         let id = SubmittedRequestId(self.last_request);
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -211,7 +211,7 @@
     const MESSAGE_TIMED_OUT: ProtocolError = ProtocolError::FrameTimedOut;
 
     fn opened(&mut self, socket: &BufferedStream) {
-        debug!("client accepted connection={}", socket.id());
+        debug!(connection = %socket.id(), "client accepted");
     }
 
     fn received(
@@ -250,10 +250,8 @@
     fn report_error(&mut self, error: ProtocolError, socket: &mut BufferedStream, context: &mut Context) {
         context.shared.scheduler.counters().client_connections_malformed += 1;
         if context.shared.scheduler.admits_log_line(context.now) {
-            warn!(
-                "malformed front=frames connection={} why=\"{error}\"",
-                socket.id()
-            );
+            let cause = error.to_string();
+            warn!(connection = %socket.id(), cause = cause.as_str(), "malformed input");
         }
     }
 
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -14,9 +14,9 @@
 pub struct RuntimeState {
     /// The scheduler.
     pub scheduler: Scheduler,
-    /// Whether the scheduler takes requests.
+    /// Whether the scheduler accepts requests.
     pub ready: bool,
-    /// Whether this instance is the active VRRP router, and so takes requests over JSON-RPC; see
+    /// Whether this instance is the active VRRP router, and so accepts requests over JSON-RPC; see
     /// [`crate::vrrp`].
     pub active: bool,
 }
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -1,8 +1,8 @@
-//! Accepting clients: the listeners, and how many clients are taken.
+//! Accepts clients, within the limits on connections.
 
+use super::jsonrpc_listener::{JsonRpcListener, JsonRpcUpdate};
 use super::limits::ClientLimits;
 use crate::config::JsonRpcConfig;
-use crate::frontend::unix_socket::{self, SocketFile};
 use crate::frontend::{FrameConnection, JsonRpcConnection};
 use crate::model::{ConnectionId, Span, Time};
 use crate::net::{ListenerId, Stream};
@@ -16,41 +16,7 @@
 /// Failures in a row after which a turn of accepting ends.
 const MAX_FAILURES: u32 = 8;
 
-/// The JSON-RPC frontend's listener.
-#[derive(Debug)]
-pub(super) struct JsonRpcListener {
-    listener: ListenerId,
-    /// Removes the socket's file when the listener is dropped.
-    socket_file: SocketFile,
-    config: JsonRpcConfig,
-}
-
-impl JsonRpcListener {
-    /// Listens on the configured Unix socket.
-    ///
-    /// # Errors
-    ///
-    /// The system's, or that of [`unix_socket::bind`].
-    pub(super) fn bind(config: &JsonRpcConfig, reactor: &mut Reactor) -> io::Result<JsonRpcListener> {
-        let (listener, socket_file) = unix_socket::bind(&config.socket, config.mode)?;
-        Ok(JsonRpcListener {
-            listener: reactor.listen_unix(listener)?,
-            socket_file,
-            config: config.clone(),
-        })
-    }
-}
-
-/// What a reload does to the JSON-RPC frontend. Clients that are connected stay in any case.
-#[derive(Debug)]
-pub(super) enum JsonRpcUpdate {
-    /// The socket stays, with other limits for clients that are still to come.
-    Reconfigure(JsonRpcConfig),
-    /// Another listener takes the place of the present one, or none does.
-    Replace(Option<JsonRpcListener>),
-}
-
-/// Takes clients from the listeners.
+/// Accepts clients from the listeners.
 #[derive(Debug)]
 pub(super) struct Acceptor {
     limits: ClientLimits,
@@ -89,42 +55,18 @@
     ///
     /// # Errors
     ///
-    /// Those of [`JsonRpcListener::bind`], or the system's where the socket's file can't be given another
-    /// mode.
+    /// Those of [`JsonRpcUpdate::prepare`].
     pub(super) fn prepare_jsonrpc(
         &self,
         config: Option<&JsonRpcConfig>,
         reactor: &mut Reactor,
     ) -> io::Result<JsonRpcUpdate> {
-        let Some(config) = config else {
-            return Ok(JsonRpcUpdate::Replace(None));
-        };
-        match &self.jsonrpc {
-            Some(present) if present.config.socket == config.socket => {
-                present.socket_file.set_mode(config.mode)?;
-                Ok(JsonRpcUpdate::Reconfigure(config.clone()))
-            }
-            _ => {
-                let listener = JsonRpcListener::bind(config, reactor)?;
-                Ok(JsonRpcUpdate::Replace(Some(listener)))
-            }
-        }
+        JsonRpcUpdate::prepare(self.jsonrpc.as_ref(), config, reactor)
     }
 
     /// Applies what [`Acceptor::prepare_jsonrpc`] has acquired.
     pub(super) fn apply_jsonrpc(&mut self, update: JsonRpcUpdate, reactor: &mut Reactor) {
-        match update {
-            JsonRpcUpdate::Reconfigure(config) => {
-                if let Some(present) = &mut self.jsonrpc {
-                    present.config = config;
-                }
-            }
-            JsonRpcUpdate::Replace(replacement) => {
-                if let Some(previous) = std::mem::replace(&mut self.jsonrpc, replacement) {
-                    reactor.close_listener(previous.listener);
-                }
-            }
-        }
+        update.apply(&mut self.jsonrpc, reactor);
     }
 
     /// Accepts from all listeners once the delay after a failure has passed.
@@ -169,8 +111,8 @@
         reactor.connection_count() < self.limits.shedding || reactor.close_longest_idle()
     }
 
-    /// Whether a client that has just been accepted can be served: it is one of the guaranteed, or there is room, if
-    /// need be in place of an idle connection.
+    /// Whether a client that has just been accepted can be served: it is one of the guaranteed, or there is a
+    /// descriptor for it, if need be that of an idle connection.
     fn may_serve(&self, reactor: &mut Reactor) -> bool {
         reactor.client_count() < self.limits.guaranteed
             || reactor.connection_count() < self.limits.connections
@@ -180,18 +122,15 @@
     fn schedule_retry(&mut self, cause: &str, reactor: &mut Reactor) {
         let now = reactor.now();
         if reactor.shared.scheduler.admits_log_line(now) {
-            warn!("accept failed why=\"{cause}\"");
+            warn!(cause, "accept failed");
         }
         self.blocked_since.get_or_insert(now);
         self.retry_at = Some(now + RETRY_DELAY);
     }
 
     fn add_client(&mut self, listener: ListenerId, stream: Stream, reactor: &mut Reactor) {
-        if self
-            .jsonrpc
-            .as_ref()
-            .is_some_and(|jsonrpc| jsonrpc.listener == listener)
-        {
+        let is_jsonrpc = |jsonrpc: &JsonRpcListener| jsonrpc.id() == listener;
+        if self.jsonrpc.as_ref().is_some_and(is_jsonrpc) {
             self.add_jsonrpc_client(stream, reactor);
         } else {
             self.add_frame_client(stream, reactor);
@@ -221,12 +160,12 @@
         let Some(jsonrpc) = &self.jsonrpc else {
             return;
         };
-        let max_line = jsonrpc.config.max_line_bytes;
-        let max_clients = jsonrpc.config.max_clients;
+        let max_line = jsonrpc.config().max_line_bytes;
+        let max_clients = jsonrpc.config().max_clients;
         let now = reactor.now();
-        if !self.make_room_for_jsonrpc_client(max_clients, reactor) {
+        if !self.ensure_jsonrpc_capacity(max_clients, reactor) {
             if reactor.shared.scheduler.admits_log_line(now) {
-                warn!("accept dropped why=max_clients");
+                warn!(cause = "max_clients", "client dropped");
             }
             return;
         }
@@ -239,7 +178,7 @@
 
     /// Closes the JSON-RPC client that has been idle for longest if there are as many as allowed; false if
     /// none is idle.
-    fn make_room_for_jsonrpc_client(&mut self, max_clients: usize, reactor: &mut Reactor) -> bool {
+    fn ensure_jsonrpc_capacity(&mut self, max_clients: usize, reactor: &mut Reactor) -> bool {
         self.jsonrpc_clients
             .retain(|client| reactor.has_connection(*client));
         if self.jsonrpc_clients.len() >= max_clients
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -1,4 +1,4 @@
-//! Carries out changes of the endpoint list: addresses go to the connection pool, entries to the scheduler.
+//! Applies changes of the endpoint list: addresses go to the connection pool, entries to the scheduler.
 
 use super::Server;
 use crate::backend::{Pool, WorkerAddress};
@@ -8,7 +8,7 @@
 use tracing::debug;
 
 impl Server {
-    /// Applies the changes that discovery has received, and has it connect to the event bus when that is due.
+    /// Applies the changes that discovery has received, and has it connect to the discovery service when that is due.
     pub(super) fn poll_discovery(&mut self, now: Time) {
         while let Some(change) = self.discovery.next_change() {
             self.apply_endpoint_change(now, change);
@@ -44,8 +44,9 @@
     fn apply_endpoint_change(&mut self, now: Time, change: EndpointChange) {
         for endpoint in &change.endpoints {
             debug!(
-                "endpoint listed worker={:08x} state={:?}",
-                endpoint.worker.0, endpoint.state
+                worker = format_args!("{:08x}", endpoint.worker.0),
+                state = ?endpoint.state,
+                "endpoint listed"
             );
         }
         for address_change in change.address_changes {
--- a/src/server/leader.rs
+++ b/src/server/leader.rs
@@ -1,4 +1,4 @@
-//! Leader election: which of several servers on a host takes requests on the JSON-RPC frontend.
+//! Leader election: which of several servers on a host accepts requests on the JSON-RPC frontend.
 //!
 //! The servers elect the active router of one virtual router by VRRP; see [`crate::vrrp`]. Advertisements
 //! travel over UDP between the addresses of the operator's file.
@@ -74,14 +74,14 @@
         reactor.shared.active = state == State::Active;
         if state != previous {
             let virtual_router_id = self.config.virtual_router_id;
-            info!("vrrp vrid={virtual_router_id} state={state:?} was={previous:?}");
+            info!(vrid = virtual_router_id, ?state, was = ?previous, "vrrp state changed");
         }
     }
 
     /// Reads the datagrams that have arrived. What is no advertisement of this virtual router is dropped and
     /// counted.
     pub(super) fn receive(&mut self, socket: UdpSocketId, reactor: &mut Reactor) {
-        // One byte more than the longest message, so that a longer one is not taken for it.
+        // One byte more than the longest message, so that a longer one is not mistaken for it.
         let mut buffer = [0; MAX_MESSAGE_LENGTH + 1];
         while let Some((length, sender)) = reactor.receive_datagram(socket, &mut buffer) {
             match self.decode(&buffer[..length], sender) {
@@ -99,7 +99,8 @@
                     let scheduler = &mut reactor.shared.scheduler;
                     scheduler.counters().vrrp_advertisements_dropped += 1;
                     if scheduler.admits_log_line(now) {
-                        warn!("vrrp dropped from={sender} why=\"{error}\"");
+                        let cause = error.to_string();
+                        warn!(%sender, cause = cause.as_str(), "vrrp datagram dropped");
                     }
                 }
             }
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -10,7 +10,7 @@
 /// Of these, so many are for clients that are accepted only to be rejected.
 const SHEDDING_DESCRIPTORS: usize = 8;
 /// Clients hold at most one in so many descriptors (page PROTOCOL).
-const CLIENT_SHARE_DIVISOR: usize = 3;
+const CLIENT_QUOTA_DIVISOR: usize = 3;
 /// Of the connections that descriptors allow, clients leave one in so many free for workers.
 const FREE_CONNECTION_DIVISOR: usize = 8;
 /// Output that waits to be sent, on all connections together, may take one in so many parts of the memory.
@@ -48,10 +48,10 @@
     }
 }
 
-/// The clients' part of the descriptors, which connections to workers leave free.
+/// The clients' quota of the descriptors, which connections to workers leave free.
 fn guaranteed_clients(config: &SchedulerConfig) -> usize {
-    let share = config.max_descriptors / CLIENT_SHARE_DIVISOR;
-    share.min(max_connections(config) * 2 / 3)
+    let quota = config.max_descriptors / CLIENT_QUOTA_DIVISOR;
+    quota.min(max_connections(config) * 2 / 3)
 }
 
 /// The limits on connections to workers.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -2,19 +2,22 @@
 //! signals.
 //!
 //! [`run`] serves until a signal ends it. Each turn of the loop waits for sockets, signals and timers, and
-//! then acts on everything that has become due. `startup` sets the server up, `accept` takes clients in,
-//! `endpoints` carries out changes of the endpoint list, `reload` and `shutdown` answer to SIGHUP and
-//! SIGTERM, and `leader` decides by VRRP which of several servers takes requests on the JSON-RPC frontend.
+//! then acts on everything that has become due. `startup` sets the server up, `accept` accepts clients,
+//! `endpoints` applies changes of the endpoint list, `reload` and `shutdown` handle SIGHUP and SIGTERM, and
+//! `leader` decides by VRRP which of several servers accepts requests on the JSON-RPC frontend.
 
 mod accept;
 mod endpoints;
 mod error;
+mod jsonrpc_listener;
 mod leader;
 mod limits;
 mod reload;
 mod shutdown;
+mod shutdown_phases;
 mod signals;
 mod startup;
+mod startup_settings;
 #[cfg(test)]
 mod tests;
 mod transient;
@@ -35,7 +38,7 @@
 use accept::Acceptor;
 use leader::LeaderElection;
 use reload::ReloadRetry;
-use shutdown::Shutdown;
+use shutdown_phases::Shutdown;
 use signals::{SignalPipes, SignalRequest};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use tracing::{error, info};
@@ -59,14 +62,14 @@
     /// Owns the scheduler, which its connections share.
     reactor: Reactor,
     pool: Pool,
-    /// The platform's configuration in use, its events taken out.
+    /// The platform's configuration in use, without its events, which discovery has.
     config: SchedulerConfig,
     discovery: Discovery,
     acceptor: Acceptor,
-    /// Without it this server always takes requests on the JSON-RPC frontend.
+    /// Without it this server always accepts requests on the JSON-RPC frontend.
     leader_election: Option<LeaderElection>,
     signals: SignalPipes,
-    /// A refused reload that is to be tried again.
+    /// A rejected reload that is to be retried.
     reload_retry: Option<ReloadRetry>,
     /// The graceful shutdown, once one has begun.
     shutdown: Option<Shutdown>,
@@ -77,7 +80,7 @@
         self.begin_serving();
         while !self.turn()? {}
         self.print_counters();
-        info!("ended name={}", self.config.name);
+        info!(name = %self.config.name, "ended");
         Ok(())
     }
 
@@ -87,10 +90,10 @@
         self.reactor.shared.ready = true;
         self.update_leader(Event::Startup);
         info!(
-            "serving name={} listen={} offset={}",
-            self.config.name,
-            self.config.listen,
-            self.discovery.last_offset()
+            name = %self.config.name,
+            listen = %self.config.listen,
+            offset = self.discovery.last_offset(),
+            "serving"
         );
     }
 
@@ -99,7 +102,7 @@
         let deadline = self.next_timer();
         let events = self.reactor.poll(deadline).map_err(ServerError::Poll)?;
         for event in events {
-            self.contain("event", |server| server.handle_event(event));
+            self.catch_panic("event", |server| server.handle_event(event));
         }
         let now = self.reactor.now();
         self.acceptor.retry(now, &mut self.reactor);
@@ -144,10 +147,10 @@
 
     fn print_counters(&mut self) {
         info!(
-            "{} log_lines_dropped={} log_lines_failed={}",
-            self.reactor.shared.scheduler.counters(),
-            logging::log_lines_dropped(),
-            logging::log_lines_failed()
+            log_lines_dropped = logging::log_lines_dropped(),
+            log_lines_failed = logging::log_lines_failed(),
+            "{}",
+            self.reactor.shared.scheduler.counters()
         );
     }
 
@@ -167,23 +170,23 @@
     /// there is none left. A panic in one of these stops none of the others.
     fn run_due_work(&mut self) {
         let now = self.reactor.now();
-        self.contain("discovery", |server| server.poll_discovery(now));
+        self.catch_panic("discovery", |server| server.poll_discovery(now));
         let scheduler_timer = self.reactor.shared.scheduler.next_timer();
         if scheduler_timer.is_some_and(|at| at <= now) {
-            self.contain("timer", |server| server.reactor.shared.scheduler.fire_timers(now));
+            self.catch_panic("timer", |server| server.reactor.shared.scheduler.fire_timers(now));
         }
         while let Some(command) = self.reactor.shared.scheduler.next_command() {
-            self.contain("command", |server| server.execute(command));
+            self.catch_panic("command", |server| server.execute(command));
         }
         self.pool.forget_ended(&self.reactor.shared.scheduler);
     }
 
     /// Does a part of the work. A panic there concerns no connection that could be closed for it; what it leaves
     /// undone is ended by the requests' deadlines.
-    fn contain(&mut self, part: &str, work: impl FnOnce(&mut Server)) {
+    fn catch_panic(&mut self, part: &str, work: impl FnOnce(&mut Server)) {
         if catch_unwind(AssertUnwindSafe(|| work(self))).is_err() {
             self.reactor.shared.scheduler.counters().panics += 1;
-            error!("panic part={part}");
+            error!(part, "panic");
         }
     }
 
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -3,23 +3,24 @@
 //! Both files are read and checked as a whole before anything of them is used; where one is bad, everything
 //! stays as it was. Requests in flight and connections go on in any case.
 
-use super::accept::JsonRpcUpdate;
+use super::jsonrpc_listener::JsonRpcUpdate;
 use super::leader::LeaderElection;
+use super::startup_settings::{StartupSetting, StartupSettings};
 use super::transient::is_transient;
 use super::{Server, limits};
 use crate::collections::ExponentialBackoff;
-use crate::config::{ConfigError, ConfigProblem, Configuration, SchedulerConfig, VrrpConfig};
+use crate::config::{ConfigError, ConfigProblem, Configuration, SchedulerConfig};
 use crate::model::{Span, Time};
 use std::io;
 use thiserror::Error;
 use tracing::{debug, info, warn};
 
-/// Delays before a refused reload is tried again. What the signal announced counts as known 4 s after it (page TERMS).
+/// Delays before a rejected reload is retried. What the signal announced counts as known 4 s after it (page TERMS).
 const RETRY_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(100), 4);
-/// How often a refused reload is tried again: for 3.1 s in all.
+/// How often a rejected reload is retried: for 3.1 s in all.
 const MAX_RETRIES: u32 = 5;
 
-/// Why a reload is refused.
+/// Why a reload is rejected.
 #[derive(Debug, Error)]
 enum ReloadError {
     /// One of the files can't be read or isn't valid.
@@ -33,7 +34,7 @@
 impl ReloadError {
     /// Whether the same reload may succeed a moment later: a file cannot be read, or may be half written, or the
     /// system is short of something.
-    fn may_pass(&self) -> bool {
+    fn is_transient(&self) -> bool {
         match self {
             ReloadError::Configuration(error) => matches!(
                 error.problem,
@@ -44,80 +45,19 @@
     }
 }
 
-/// A setting that only takes effect at a start.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum StartupSetting {
-    Listen,
-    Name,
-    Zones,
-    Kinds,
-    Vrrp,
-}
-
-impl StartupSetting {
-    const ALL: [StartupSetting; 5] = [
-        StartupSetting::Listen,
-        StartupSetting::Name,
-        StartupSetting::Zones,
-        StartupSetting::Kinds,
-        StartupSetting::Vrrp,
-    ];
-
-    /// Its name in the log.
-    pub(super) fn name(self) -> &'static str {
-        match self {
-            StartupSetting::Listen => "listen",
-            StartupSetting::Name => "name",
-            StartupSetting::Zones => "zones",
-            StartupSetting::Kinds => "kinds",
-            StartupSetting::Vrrp => "vrrp",
-        }
-    }
-}
-
-/// A configuration, as far as it only takes effect at a start.
-pub(super) struct StartupSettings<'a> {
-    /// The platform's configuration.
-    pub(super) scheduler: &'a SchedulerConfig,
-    /// The operator's virtual router, if there is one.
-    pub(super) vrrp: Option<&'a VrrpConfig>,
-}
-
-impl StartupSettings<'_> {
-    /// The settings that have other values in a requested configuration.
-    pub(super) fn differing_from(&self, requested: &StartupSettings) -> Vec<StartupSetting> {
-        let mut settings = StartupSetting::ALL.to_vec();
-        settings.retain(|setting| self.differs(*setting, requested));
-        settings
-    }
-
-    fn differs(&self, setting: StartupSetting, requested: &StartupSettings) -> bool {
-        let present = self.scheduler;
-        let new = requested.scheduler;
-        match setting {
-            // Port 0 leaves the choice to the system, which has made it.
-            StartupSetting::Listen => new.listen.port() != 0 && new.listen != present.listen,
-            StartupSetting::Name => new.name != present.name,
-            StartupSetting::Zones => new.site.zones != present.site.zones,
-            StartupSetting::Kinds => new.site.kinds != present.site.kinds,
-            StartupSetting::Vrrp => requested.vrrp != self.vrrp,
-        }
-    }
-}
-
 /// A configuration that has passed all checks, and what had to be acquired for it.
 struct ValidReload {
     configuration: Configuration,
     jsonrpc: JsonRpcUpdate,
 }
 
-/// A reload that was refused for a reason that may pass, and is to be tried again.
+/// A reload that was rejected for a transient reason, and is to be retried.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReloadRetry {
-    /// When it is tried.
+    /// When it is retried.
     pub(super) due_at: Time,
-    /// Tries before that.
-    tries: u32,
+    /// Attempts before that.
+    earlier_attempts: u32,
 }
 
 impl Server {
@@ -126,34 +66,35 @@
         self.try_reload(0);
     }
 
-    /// Tries a refused reload again once that is due.
+    /// Retries a rejected reload once that is due.
     pub(super) fn retry_reload(&mut self, now: Time) {
         if let Some(retry) = self.reload_retry.take_if(|retry| retry.due_at <= now) {
-            self.try_reload(retry.tries);
+            self.try_reload(retry.earlier_attempts);
         }
     }
 
-    fn try_reload(&mut self, earlier_tries: u32) {
+    fn try_reload(&mut self, earlier_attempts: u32) {
         self.reload_retry = None;
         match self.validate_reload() {
             Ok(reload) => {
                 let kept = self.apply_reload(reload);
                 self.report_reload(&kept);
             }
-            Err(error) => self.refuse_reload(&error, earlier_tries),
+            Err(error) => self.reject_reload(&error, earlier_attempts),
         }
     }
 
-    fn refuse_reload(&mut self, error: &ReloadError, earlier_tries: u32) {
-        if earlier_tries == 0 {
-            warn!("reload refused why=\"{error}\"");
+    fn reject_reload(&mut self, error: &ReloadError, earlier_attempts: u32) {
+        let cause = error.to_string();
+        if earlier_attempts == 0 {
+            warn!(cause = cause.as_str(), "reload rejected");
         } else {
-            debug!("reload still refused tries={earlier_tries} why=\"{error}\"");
+            debug!(earlier_attempts, cause = cause.as_str(), "reload retry rejected");
         }
-        if error.may_pass() && earlier_tries < MAX_RETRIES {
+        if error.is_transient() && earlier_attempts < MAX_RETRIES {
             self.reload_retry = Some(ReloadRetry {
-                due_at: self.reactor.now() + RETRY_BACKOFF.delay(earlier_tries),
-                tries: earlier_tries + 1,
+                due_at: self.reactor.now() + RETRY_BACKOFF.delay(earlier_attempts),
+                earlier_attempts: earlier_attempts + 1,
             });
         }
     }
@@ -221,8 +162,8 @@
 
     fn report_reload(&self, kept: &[StartupSetting]) {
         for setting in kept {
-            warn!("reload kept what={}", setting.name());
+            warn!(setting = setting.name(), "setting kept until restart");
         }
-        info!("reloaded offset={}", self.discovery.last_offset());
+        info!(offset = self.discovery.last_offset(), "reloaded");
     }
 }
--- /dev/null
+++ b/src/server/shutdown_phases.rs
@@ -0,0 +1,122 @@
+//! The phases of a graceful shutdown, and what ends each of them.
+//!
+//! SIGTERM only announces the end. The platform's protocol page says that new connections keep coming for
+//! some 0.4 s after it and requests for 0.2 s more, and that the program is not killed before every request's
+//! time has run out.
+
+use crate::model::{Span, Time};
+
+/// Time from the beginning until clients are notified again: those that have connected since. The answer to a request
+/// that comes later is owed even if the process is killed (page PROTOCOL).
+const LATE_NOTICE_DELAY: Span = Span::from_millis(700);
+/// Time from the beginning during which clients may still come; the program ends no sooner.
+const GRACE_PERIOD: Span = Span::from_millis(1_200);
+/// How long responses may take to be written once no request is open.
+const FLUSH_TIMEOUT: Span = Span::from_millis(500);
+
+/// How far a shutdown has come. Requests are answered in every phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ShutdownPhase {
+    /// Clients that don't know of the shutdown still connect, and their requests are served.
+    LateConnections,
+    /// All clients have been notified; what they still send is served in the time that is left.
+    LateRequests,
+    /// Requests are open.
+    Draining,
+    /// No request is open; responses are being written.
+    Flushing {
+        /// When writing is given up.
+        deadline: Time,
+    },
+    /// The program may end.
+    Complete,
+}
+
+/// What the server still has to do, as far as a shutdown depends on it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Activity {
+    /// Requests that have no final response yet.
+    pub(super) open_requests: usize,
+    /// Output waits to be written on some connection.
+    pub(super) has_unsent_output: bool,
+    /// The last poll of the sockets found nothing to read.
+    pub(super) last_poll_was_empty: bool,
+}
+
+/// A shutdown that has begun.
+#[derive(Debug)]
+pub(super) struct Shutdown {
+    began_at: Time,
+    phase: ShutdownPhase,
+    /// Since when no request has been open; none while one is.
+    drained_at: Option<Time>,
+}
+
+impl Shutdown {
+    /// A shutdown that begins at `now`, with all clients notified.
+    pub(super) fn new(now: Time) -> Shutdown {
+        Shutdown {
+            began_at: now,
+            phase: ShutdownPhase::LateConnections,
+            drained_at: None,
+        }
+    }
+
+    /// Moves on by one phase if the present one has ended, and gives the phase that was entered. To be called
+    /// until it gives none.
+    pub(super) fn advance(&mut self, now: Time, activity: Activity) -> Option<ShutdownPhase> {
+        self.drained_at = match activity.open_requests {
+            0 => self.drained_at.or(Some(now)),
+            _ => None,
+        };
+        self.phase = self.next_phase(now, activity)?;
+        Some(self.phase)
+    }
+
+    /// What ends each phase, and which one follows.
+    fn next_phase(&self, now: Time, activity: Activity) -> Option<ShutdownPhase> {
+        match self.phase {
+            ShutdownPhase::LateConnections => {
+                let notice_due = now >= self.began_at + LATE_NOTICE_DELAY;
+                notice_due.then_some(ShutdownPhase::LateRequests)
+            }
+            ShutdownPhase::LateRequests => (now >= self.grace_end()).then_some(ShutdownPhase::Draining),
+            ShutdownPhase::Draining => {
+                let drained_at = self.drained_at?;
+                // The last response may come as late as its request allows: the time to write it counts from
+                // then.
+                let deadline = drained_at.max(self.grace_end()) + FLUSH_TIMEOUT;
+                Some(ShutdownPhase::Flushing { deadline })
+            }
+            ShutdownPhase::Flushing { .. } if self.drained_at.is_none() => Some(ShutdownPhase::Draining),
+            ShutdownPhase::Flushing { deadline } => {
+                // A request may wait unread behind responses that have just been written. Closing its
+                // connection would also take from the client what it has not read yet, so the sockets are
+                // polled once more.
+                let is_flushed = !activity.has_unsent_output && activity.last_poll_was_empty;
+                (is_flushed || now >= deadline).then_some(ShutdownPhase::Complete)
+            }
+            ShutdownPhase::Complete => None,
+        }
+    }
+
+    /// When to advance although nothing happens on the connections.
+    pub(super) fn next_timer(&self, now: Time, has_unsent_output: bool) -> Option<Time> {
+        match self.phase {
+            ShutdownPhase::LateConnections => Some(self.began_at + LATE_NOTICE_DELAY),
+            ShutdownPhase::LateRequests => Some(self.grace_end()),
+            ShutdownPhase::Draining => None,
+            ShutdownPhase::Flushing { deadline } if has_unsent_output => Some(deadline),
+            ShutdownPhase::Flushing { .. } | ShutdownPhase::Complete => Some(now),
+        }
+    }
+
+    /// When the shutdown began.
+    pub(super) fn began_at(&self) -> Time {
+        self.began_at
+    }
+
+    fn grace_end(&self) -> Time {
+        self.began_at + GRACE_PERIOD
+    }
+}
--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -1,6 +1,6 @@
 //! Process signals, delivered to the event loop through pipes.
 
-use super::transient::{START_PATIENCE, START_RETRY_INTERVAL, is_transient};
+use super::transient::{START_RETRY_INTERVAL, START_TIMEOUT, is_transient};
 use crate::net::PipeId;
 use crate::runtime::Reactor;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -54,16 +54,16 @@
 }
 
 impl Signals {
-    /// Installs the handlers, with further tries after failures that pass by themselves.
+    /// Installs the handlers, with retries after transient failures.
     ///
     /// # Errors
     ///
-    /// The system's, where it gives no pipe or refuses a handler.
+    /// The system's, where it provides no pipe or installs no handler.
     pub fn install() -> io::Result<Signals> {
         let began_at = Instant::now();
         loop {
             match Signals::try_install() {
-                Err(error) if is_transient(&error) && began_at.elapsed() < START_PATIENCE => {
+                Err(error) if is_transient(&error) && began_at.elapsed() < START_TIMEOUT => {
                     thread::sleep(START_RETRY_INTERVAL);
                 }
                 result => return result,
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,11 +1,12 @@
 //! Start of the server: sockets and state, from the configuration, for as long as it takes to have them.
 
-use super::accept::{Acceptor, JsonRpcListener};
+use super::accept::Acceptor;
 use super::endpoints::assign_jsonrpc_worker_addresses;
 use super::error::ServerError;
+use super::jsonrpc_listener::JsonRpcListener;
 use super::leader::LeaderElection;
 use super::signals::Signals;
-use super::transient::{START_PATIENCE, START_RETRY_INTERVAL, is_transient};
+use super::transient::{START_RETRY_INTERVAL, START_TIMEOUT, is_transient};
 use super::{Server, limits};
 use crate::backend::Pool;
 use crate::config::{ConfigProblem, ConfigSources, Configuration, JsonRpcConfig, VrrpConfig};
@@ -17,35 +18,34 @@
 use std::time::Instant;
 use tracing::{info, warn};
 
-/// Sets a server up, with further tries after failures that pass by themselves; none if a shutdown is asked for
-/// meanwhile.
+/// Sets a server up, with retries after transient failures; none if a shutdown is requested meanwhile.
 ///
 /// # Errors
 ///
-/// The last one, where it does not pass.
+/// The last one, where it is not transient or lasts for too long.
 pub(super) fn start(sources: &ConfigSources, signals: &Signals) -> Result<Option<Server>, ServerError> {
     let began_at = Instant::now();
     let mut failures = 0u32;
     loop {
         match Server::new(sources, signals) {
-            Err(error) if passes(&error) && began_at.elapsed() < START_PATIENCE => {
+            Err(error) if is_transient_start_failure(&error) && began_at.elapsed() < START_TIMEOUT => {
                 failures += 1;
                 if failures == 1 {
-                    warn!("start delayed why=\"{error}\"");
+                    warn!(cause = error.to_string().as_str(), "start delayed");
                 }
             }
             result => return result.map(Some),
         }
-        let is_called_off = signals.wait_for_shutdown(START_RETRY_INTERVAL);
-        if is_called_off.map_err(ServerError::SignalHandlers)? {
-            info!("start called off");
+        let is_cancelled = signals.wait_for_shutdown(START_RETRY_INTERVAL);
+        if is_cancelled.map_err(ServerError::SignalHandlers)? {
+            info!("start cancelled");
             return Ok(None);
         }
     }
 }
 
 /// Whether a start that failed with this error may succeed a moment later.
-fn passes(error: &ServerError) -> bool {
+fn is_transient_start_failure(error: &ServerError) -> bool {
     match error {
         ServerError::Configuration(error) => match &error.problem {
             ConfigProblem::Unreadable { source, .. } => is_transient(source),
@@ -117,7 +117,7 @@
     })
 }
 
-/// Takes part in the leader election.
+/// Joins the leader election.
 fn join_election(config: &VrrpConfig, reactor: &mut Reactor) -> Result<LeaderElection, ServerError> {
     LeaderElection::new(config, reactor).map_err(|source| ServerError::VrrpSocket {
         address: config.bind,
--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -1,7 +1,7 @@
 //! Which settings a reload keeps.
 
 use crate::config::{SchedulerConfig, VrrpConfig, parse_operator_config, parse_scheduler_config};
-use crate::server::reload::{StartupSetting, StartupSettings};
+use crate::server::startup_settings::{StartupSetting, StartupSettings};
 use serde_json::{Value, json};
 
 /// Takes the place of a configured port of which the system has chosen another.
--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! The phases of a graceful shutdown.
 
 use crate::model::{Span, Time};
-use crate::server::shutdown::{Activity, Shutdown, ShutdownPhase};
+use crate::server::shutdown_phases::{Activity, Shutdown, ShutdownPhase};
 
 const BEGAN_AT: Time = Time(1_000_000_000);
 const IDLE: Activity = Activity {
--- a/tests/support/process_log.rs
+++ b/tests/support/process_log.rs
@@ -86,7 +86,7 @@
     let result = |line: &str| {
         if line.contains("function-scheduler: reloaded") {
             Some(ReloadResult::Applied)
-        } else if line.contains("reload refused") {
+        } else if line.contains("reload rejected") {
             Some(ReloadResult::Rejected)
         } else {
             None
