--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -1,16 +1,20 @@
 //! A connection to a worker: its lifecycle and timers.
 
-mod answers;
 mod commands;
+pub(super) mod health_check;
+pub(super) mod phase;
+mod responses;
 
 use super::codec::Codec;
 use super::correlation::{CorrelationTable, Exchange, health_check_correlation_id};
 use super::limits::Limits;
 use super::write_queue::WriteQueue;
-use crate::model::{Span, Time};
+use crate::model::Time;
 use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
 use crate::runtime::{Context, RuntimeState};
-use crate::scheduler::{ExchangeError, FailureCause, HealthCheckId, WriteProgress};
+use crate::scheduler::{ExchangeError, FailureCause, WriteProgress};
+use health_check::HealthCheckState;
+use phase::Phase;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -20,34 +24,16 @@
 const MAX_UNSENT_BYTES: usize = 4 << 20;
 /// Open and waiting commands on one connection.
 const MAX_COMMANDS: usize = 4096;
-/// Time within which a line of a worker has to arrive completely. One that stops short would swallow the
-/// start of the next answer.
-const LINE_TIMEOUT: Span = Span::from_millis(300);
 const LINE_FEED: u8 = b'\n';
 
-/// A health check whose answer is awaited.
-struct OutstandingHealthCheck {
-    check: HealthCheckId,
-    deadline: Time,
-}
-
 /// A connection to a worker.
 pub(super) struct WorkerConnection {
     codec: Rc<dyn Codec>,
     limits: Rc<Cell<Limits>>,
     write_queue: WriteQueue,
     correlations: CorrelationTable,
-    /// Until when the connection has to be established; none once it is.
-    connect_deadline: Option<Time>,
-    /// When the last command was taken or the last answer came.
-    last_activity: Time,
-    health_check: Option<OutstandingHealthCheck>,
-    /// Until when the rest of an incomplete line has to arrive.
-    line_deadline: Option<Time>,
-    /// A health check was not answered, and nothing has arrived since. A connection through a network
-    /// partition stays established and silent, and is slow to recover after the partition. New commands take
-    /// a new connection instead: if it is refused, this proves that nothing ran.
-    unresponsive: bool,
+    phase: Phase,
+    health_check: HealthCheckState,
 }
 
 impl WorkerConnection {
@@ -68,11 +54,10 @@
             limits,
             write_queue: WriteQueue::default(),
             correlations: CorrelationTable::default(),
-            connect_deadline: Some(connect_deadline),
-            last_activity: connect_deadline,
-            health_check: None,
-            line_deadline: None,
-            unresponsive: false,
+            phase: Phase::Connecting {
+                deadline: connect_deadline,
+            },
+            health_check: HealthCheckState::Responsive,
         }
     }
 
@@ -81,7 +66,7 @@
     pub(super) fn accepts(&self, correlation_id: Option<&str>) -> bool {
         let commands = self.correlations.open_exchange_count() + self.write_queue.len();
         correlation_id.is_none_or(|id| self.correlations.is_unused(id))
-            && !self.unresponsive
+            && self.health_check != HealthCheckState::Unresponsive
             && self.attempts_in_flight() < self.limits.get().attempts_per_connection
             && commands < MAX_COMMANDS
     }
@@ -93,13 +78,9 @@
 
     /// Ends the health check that has not been answered in time.
     fn expire_health_check(&mut self, context: &mut Context) {
-        let overdue = self
-            .health_check
-            .take_if(|outstanding| outstanding.deadline <= context.now);
-        let Some(OutstandingHealthCheck { check, .. }) = overdue else {
+        let Some(check) = self.health_check.expire(context.now) else {
             return;
         };
-        self.unresponsive = true;
         self.correlations.close(&health_check_correlation_id(check));
         let error = ExchangeError {
             progress: WriteProgress::Written,
@@ -116,19 +97,7 @@
         let idle_deadline = self
             .idle_since()
             .map(|since| since + self.limits.get().idle_timeout);
-        [self.connect_deadline, self.line_deadline, idle_deadline]
-            .into_iter()
-            .flatten()
-            .min()
-    }
-
-    /// Sets the deadline of the line of which the input holds the start.
-    fn update_line_deadline(&mut self, lines_received: bool, input_is_empty: bool, now: Time) {
-        if input_is_empty {
-            self.line_deadline = None;
-        } else if lines_received || self.line_deadline.is_none() {
-            self.line_deadline = Some(now + LINE_TIMEOUT);
-        }
+        self.phase.deadline().into_iter().chain(idle_deadline).min()
     }
 }
 
@@ -144,8 +113,7 @@
 
 impl Connection<RuntimeState> for WorkerConnection {
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        self.connect_deadline = None;
-        self.last_activity = context.now;
+        self.phase = Phase::established(context.now);
         context.shared.scheduler.counters().worker_connections_opened += 1;
         self.flush_jobs(socket, context)
     }
@@ -166,7 +134,8 @@
         if socket.input.len() > MAX_LINE_BYTES || socket.input_ended {
             return ConnectionFlow::Close;
         }
-        self.update_line_deadline(consumed > 0, socket.input.is_empty(), context.now);
+        self.phase
+            .update_line_deadline(consumed > 0, socket.input.is_empty(), context.now);
         self.flush_jobs(socket, context)
     }
 
@@ -194,19 +163,19 @@
     }
 
     fn deadline(&self) -> Option<Time> {
-        let health_check_deadline = self.health_check.as_ref().map(|outstanding| outstanding.deadline);
         let deadlines = [
             self.close_deadline(),
-            health_check_deadline,
+            self.health_check.deadline(),
             self.correlations.next_expiry(),
         ];
         deadlines.into_iter().flatten().min()
     }
 
     fn closed(&mut self, socket: &BufferedStream, _cause: CloseCause, context: &mut Context) {
-        let cause = match self.connect_deadline {
-            None => FailureCause::ConnectionClosed,
-            Some(_) => FailureCause::NoConnection,
+        let cause = if self.phase.is_connecting() {
+            FailureCause::NoConnection
+        } else {
+            FailureCause::ConnectionClosed
         };
         let open_exchanges = self.correlations.open_exchanges();
         for unfinished in self.write_queue.unfinished(open_exchanges, socket.unsent()) {
@@ -219,9 +188,8 @@
     }
 
     fn idle_since(&self) -> Option<Time> {
-        let is_idle = self.connect_deadline.is_none()
-            && self.write_queue.is_idle()
-            && !self.correlations.has_open_exchanges();
-        is_idle.then_some(self.last_activity)
+        let last_activity = self.phase.last_activity()?;
+        let is_idle = self.write_queue.is_idle() && !self.correlations.has_open_exchanges();
+        is_idle.then_some(last_activity)
     }
 }
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -1,6 +1,7 @@
 //! The commands of a connection: taken from the pool, written one at a time.
 
-use super::{OutstandingHealthCheck, WorkerConnection};
+use super::WorkerConnection;
+use super::health_check::HealthCheckState;
 use crate::backend::correlation::{Exchange, health_check_correlation_id, load_order_correlation_id};
 use crate::backend::job::Job;
 use crate::model::{FunctionId, Time};
@@ -28,14 +29,14 @@
             Job::Load { order, .. } => self.correlations.open_load_order(*order),
             Job::HealthCheck { check, deadline } => {
                 self.correlations.open_health_check(*check);
-                self.health_check = Some(OutstandingHealthCheck {
+                self.health_check = HealthCheckState::Outstanding {
                     check: *check,
                     deadline: *deadline,
-                });
+                };
             }
             Job::Unload { .. } => {}
         }
-        self.last_activity = context.now;
+        self.phase.record_activity(context.now);
         self.write_queue.push(job);
         self.flush_jobs(socket, context)
     }
--- a/src/backend/connection/answers.rs
+++ b/src/backend/connection/responses.rs
@@ -1,6 +1,7 @@
 //! The answers that arrive on a connection.
 
 use super::WorkerConnection;
+use super::health_check::HealthCheckState;
 use crate::backend::codec::{DecodeError, ResponseMessage, WorkerMessage};
 use crate::backend::correlation::Exchange;
 use crate::net::ConnectionFlow;
@@ -13,7 +14,7 @@
 impl WorkerConnection {
     /// Decodes a line of the worker and ends the exchange that it answers.
     pub(super) fn handle_line(&mut self, line: &[u8], context: &mut Context) -> ConnectionFlow {
-        self.unresponsive = false;
+        self.health_check.record_input();
         match self.codec.decode(line) {
             Ok(WorkerMessage::Response(message)) => self.handle_response(message, context),
             Ok(WorkerMessage::Alive { correlation_id }) => self.handle_alive(&correlation_id, context),
@@ -35,7 +36,7 @@
             // The answer to something that has been cancelled or was never sent.
             None => {}
         }
-        self.last_activity = context.now;
+        self.phase.record_activity(context.now);
     }
 
     fn end_attempt(&mut self, attempt: AttemptId, message: ResponseMessage, context: &mut Context) {
@@ -52,7 +53,7 @@
     fn handle_alive(&mut self, correlation_id: &str, context: &mut Context) {
         if let Some(Exchange::HealthCheck(check)) = self.correlations.exchange(correlation_id) {
             self.correlations.close(correlation_id);
-            self.health_check = None;
+            self.health_check = HealthCheckState::Responsive;
             let scheduler = &mut context.shared.scheduler;
             scheduler.health_check_ended(context.now, check, Ok(()));
         }
@@ -60,7 +61,7 @@
 
     /// Ends a health check that was answered, but not with the message that the worker is alive.
     fn fail_health_check(&mut self, check: HealthCheckId, context: &mut Context) {
-        self.health_check = None;
+        self.health_check = HealthCheckState::Responsive;
         let error = ExchangeError {
             progress: WriteProgress::Answered,
             cause: FailureCause::NotAlive,
--- /dev/null
+++ b/src/backend/tests/connection.rs
@@ -0,0 +1,76 @@
+//! The phases of a connection and what its health checks say.
+
+use crate::backend::connection::health_check::HealthCheckState;
+use crate::backend::connection::phase::Phase;
+use crate::model::{Span, Time};
+use crate::scheduler::HealthCheckId;
+
+const START: Time = Time(1_000);
+const LINE_TIMEOUT: Span = Span::from_millis(300);
+const CHECK: HealthCheckId = HealthCheckId(4);
+
+fn outstanding() -> HealthCheckState {
+    HealthCheckState::Outstanding {
+        check: CHECK,
+        deadline: START,
+    }
+}
+
+#[test]
+fn a_connection_that_is_being_established_has_its_own_deadline_alone() {
+    let mut phase = Phase::Connecting { deadline: START };
+    phase.record_activity(Time(1));
+    phase.update_line_deadline(true, false, Time(1));
+    assert_eq!(phase, Phase::Connecting { deadline: START });
+    assert!(phase.is_connecting());
+    assert_eq!((phase.deadline(), phase.last_activity()), (Some(START), None));
+}
+
+#[test]
+fn an_established_connection_is_active_from_its_start() {
+    let mut phase = Phase::established(START);
+    assert!(!phase.is_connecting());
+    assert_eq!((phase.deadline(), phase.last_activity()), (None, Some(START)));
+    phase.record_activity(START + Span(1));
+    assert_eq!(phase.last_activity(), Some(START + Span(1)));
+}
+
+#[test]
+fn the_deadline_of_a_line_runs_from_its_first_input() {
+    let mut phase = Phase::established(START);
+    phase.update_line_deadline(false, false, START);
+    assert_eq!(phase.deadline(), Some(START + LINE_TIMEOUT));
+    phase.update_line_deadline(false, false, START + Span(1));
+    assert_eq!(
+        phase.deadline(),
+        Some(START + LINE_TIMEOUT),
+        "more of the same line"
+    );
+    phase.update_line_deadline(true, false, START + Span(2));
+    assert_eq!(
+        phase.deadline(),
+        Some(START + Span(2) + LINE_TIMEOUT),
+        "the next line"
+    );
+    phase.update_line_deadline(true, true, START + Span(3));
+    assert_eq!(phase.deadline(), None, "no part of a line is left");
+}
+
+#[test]
+fn a_health_check_without_a_response_makes_a_connection_unresponsive_until_input_comes() {
+    let mut state = outstanding();
+    assert_eq!(state.deadline(), Some(START));
+    assert_eq!(state.expire(Time(START.0 - 1)), None);
+    assert_eq!(state.expire(START), Some(CHECK));
+    assert_eq!((state, state.deadline()), (HealthCheckState::Unresponsive, None));
+    assert_eq!(state.expire(START), None, "it has ended once");
+    state.record_input();
+    assert_eq!(state, HealthCheckState::Responsive);
+}
+
+#[test]
+fn other_input_leaves_a_health_check_outstanding() {
+    let mut state = outstanding();
+    state.record_input();
+    assert_eq!(state, outstanding());
+}
--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -1,5 +1,6 @@
 //! Unit tests of the back end.
 
+mod connection;
 mod correlation;
 mod jsonrpc_codec;
 mod node_agent_codec;
