--- a/src/backend/codec.rs
+++ b/src/backend/codec.rs
@@ -9,16 +9,16 @@
 ///
 /// Every encoded line ends with its line feed; [`Codec::decode`] gets lines without it.
 pub trait Codec {
-    /// Encodes the start of an attempt at `now`, whose answer is awaited until `deadline`.
+    /// Encodes the command that starts an attempt at `now`, whose response is awaited until `deadline`.
     fn encode_request(&self, payload: &RequestPayload, now: Time, deadline: Time) -> Vec<u8>;
 
     /// Encodes the cancellation of the attempt that was sent under this correlation id.
     fn encode_cancel(&self, correlation_id: &str) -> Vec<u8>;
 
-    /// Encodes an order to have at least `instances` instances of a function loaded.
+    /// Encodes a load order: at least `instances` instances of a function are to be loaded.
     fn encode_load(&self, correlation_id: &str, function: FunctionId, instances: u8) -> Vec<u8>;
 
-    /// Encodes an order to unload the idle instances of a function.
+    /// Encodes the command to unload the idle instances of a function.
     fn encode_unload(&self, function: FunctionId) -> Vec<u8>;
 
     /// Encodes a health check under this correlation id.
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// A [`DecodeError`] for a line that is no valid answer. It names the command that the line belongs to,
+    /// A [`DecodeError`] for a line that is no valid response. It names the command that the line belongs to,
     /// if that much could be read.
     fn decode(&self, line: &[u8]) -> Result<WorkerMessage, DecodeError>;
 }
@@ -36,29 +36,29 @@
 /// A decoded line of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerMessage {
-    /// The answer to a request or to an order to load.
+    /// The response to a request or to a load order.
     Response(ResponseMessage),
-    /// The answer to a health check.
+    /// The response to a health check.
     Alive {
         /// The correlation id under which the health check was sent.
         correlation_id: String,
     },
 }
 
-/// The answer to a request or to an order to load.
+/// The response to a request or to a load order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseMessage {
     /// The correlation id under which the command was sent.
     pub correlation_id: String,
     /// The outcome of the command.
     pub response: WorkerResponse,
-    /// Number of loaded instances, where the answer gives it.
+    /// Number of loaded instances, where the response gives it.
     pub instances: Option<u32>,
-    /// The values of the load report; empty if the answer has no load report.
+    /// The values of the load report; empty if the response has no load report.
     pub load_report: Vec<ReportedMetric>,
 }
 
-/// A line that is no valid answer.
+/// A line that is no valid response.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{kind}")]
 pub struct DecodeError {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// An error in the answer to the command with this correlation id.
-    pub(super) fn in_answer_to(correlation_id: &str, kind: DecodeErrorKind) -> DecodeError {
+    /// An error in the response to the command with this correlation id.
+    pub(super) fn in_response_to(correlation_id: &str, kind: DecodeErrorKind) -> DecodeError {
         DecodeError {
             correlation_id: Some(correlation_id.to_owned()),
             kind,
@@ -86,22 +86,22 @@
     }
 }
 
-/// What is wrong with a line that is no valid answer.
+/// What is wrong with a line that is no valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeErrorKind {
     /// A node agent's line is not a JSON object with a verb.
-    #[error("not a JSON answer")]
-    NotAnAnswer,
-    /// A node agent's answer has no correlation id.
+    #[error("not a JSON response")]
+    NotAResponse,
+    /// A node agent's response has no correlation id.
     #[error("no rid")]
     MissingRid,
-    /// The verb of a node agent's answer is neither text nor a number.
+    /// The verb of a node agent's response is neither text nor a number.
     #[error("no verb")]
     InvalidVerb,
-    /// The verb of a node agent's answer is not one that the protocol defines.
+    /// The verb of a node agent's response is not one that the protocol defines.
     #[error("unknown verb")]
     UnknownVerb,
-    /// The content of a node agent's answer is not valid base64.
+    /// The content of a node agent's response is not valid base64.
     #[error("content is not base64")]
     ContentNotBase64,
     /// A JSON-RPC worker's line is not JSON.
--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -76,7 +76,7 @@
         self.correlations.open_attempt_count()
     }
 
-    /// Ends the health check that has not been answered in time.
+    /// Ends the health check that got no response in time.
     fn expire_health_check(&mut self, context: &mut Context) {
         let Some(check) = self.health_check.expire(context.now) else {
             return;
@@ -115,7 +115,7 @@
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         self.phase = Phase::established(context.now);
         context.shared.scheduler.counters().worker_connections_opened += 1;
-        self.flush_jobs(socket, context)
+        self.flush_commands(socket, context)
     }
 
     fn received(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
@@ -136,7 +136,7 @@
         }
         self.phase
             .update_line_deadline(consumed > 0, socket.input.is_empty(), context.now);
-        self.flush_jobs(socket, context)
+        self.flush_commands(socket, context)
     }
 
     fn may_write_rest(&self, context: &mut Context) -> bool {
@@ -150,7 +150,7 @@
     }
 
     fn flushed(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        self.flush_jobs(socket, context)
+        self.flush_commands(socket, context)
     }
 
     fn timer_expired(&mut self, _socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -3,7 +3,7 @@
 use super::WorkerConnection;
 use super::health_check::HealthCheckState;
 use crate::backend::correlation::{Exchange, health_check_correlation_id, load_order_correlation_id};
-use crate::backend::job::Job;
+use crate::backend::worker_command::WorkerCommand;
 use crate::model::{FunctionId, Time};
 use crate::net::{BufferedStream, ConnectionFlow};
 use crate::runtime::Context;
@@ -13,41 +13,41 @@
     /// Takes a command for the worker.
     pub(in crate::backend) fn submit(
         &mut self,
-        job: Job,
+        command: WorkerCommand,
         socket: &mut BufferedStream,
         context: &mut Context,
     ) -> ConnectionFlow {
-        match &job {
-            Job::Start { attempt, payload, .. } => {
+        match &command {
+            WorkerCommand::Send { attempt, payload, .. } => {
                 self.correlations.open_attempt(*attempt, &payload.correlation_id);
             }
-            Job::Cancel { attempt } => {
+            WorkerCommand::Cancel { attempt } => {
                 if !self.cancel_attempt(*attempt, context.now) {
                     return ConnectionFlow::Continue;
                 }
             }
-            Job::Load { order, .. } => self.correlations.open_load_order(*order),
-            Job::HealthCheck { check, deadline } => {
+            WorkerCommand::Load { order, .. } => self.correlations.open_load_order(*order),
+            WorkerCommand::HealthCheck { check, deadline } => {
                 self.correlations.open_health_check(*check);
                 self.health_check = HealthCheckState::Outstanding {
                     check: *check,
                     deadline: *deadline,
                 };
             }
-            Job::Unload { .. } => {}
+            WorkerCommand::Unload { .. } => {}
         }
         self.phase.record_activity(context.now);
-        self.write_queue.push(job);
-        self.flush_jobs(socket, context)
+        self.write_queue.push(command);
+        self.flush_commands(socket, context)
     }
 
     /// Cancels an attempt, and returns whether the worker needs a command for that. It needs none if the
-    /// attempt has been answered, or if its start still waited and so is never written.
+    /// attempt has its response, or if its command still waited and so is never written.
     fn cancel_attempt(&mut self, attempt: AttemptId, now: Time) -> bool {
         if !self.correlations.has_attempt(attempt) {
             return false;
         }
-        if self.write_queue.remove_start(attempt) {
+        if self.write_queue.remove_send(attempt) {
             self.correlations.close_unsent_attempt(attempt);
             return false;
         }
@@ -56,7 +56,7 @@
     }
 
     /// Writes the waiting commands one after another, each once the one before has been written completely.
-    pub(super) fn flush_jobs(
+    pub(super) fn flush_commands(
         &mut self,
         socket: &mut BufferedStream,
         context: &mut Context,
@@ -65,10 +65,10 @@
             if let Some(Exchange::Attempt(attempt)) = self.write_queue.finish_write() {
                 context.shared.scheduler.attempt_written(context.now, attempt);
             }
-            let Some(job) = self.write_queue.pop() else {
+            let Some(command) = self.write_queue.pop() else {
                 break;
             };
-            let Some(line) = self.encode(job, context) else {
+            let Some(line) = self.encode(command, context) else {
                 continue;
             };
             socket.enqueue(&line);
@@ -80,31 +80,31 @@
     }
 
     /// Encodes a command whose turn has come; none if it must not be written any more.
-    fn encode(&mut self, job: Job, context: &mut Context) -> Option<Vec<u8>> {
-        match job {
-            Job::Start {
+    fn encode(&mut self, command: WorkerCommand, context: &mut Context) -> Option<Vec<u8>> {
+        match command {
+            WorkerCommand::Send {
                 attempt,
                 payload,
                 deadline,
-            } => self.encode_start(attempt, &payload, deadline, context),
-            Job::Cancel { attempt } => {
+            } => self.encode_send(attempt, &payload, deadline, context),
+            WorkerCommand::Cancel { attempt } => {
                 let correlation_id = self.correlations.take_cancelled(attempt)?;
                 Some(self.codec.encode_cancel(&correlation_id))
             }
-            Job::Load {
+            WorkerCommand::Load {
                 order,
                 function,
                 instances,
             } => self.encode_load(order, function, instances, context),
-            Job::HealthCheck { check, .. } => Some(
+            WorkerCommand::HealthCheck { check, .. } => Some(
                 self.codec
                     .encode_health_check(&health_check_correlation_id(check)),
             ),
-            Job::Unload { function } => Some(self.codec.encode_unload(function)),
+            WorkerCommand::Unload { function } => Some(self.codec.encode_unload(function)),
         }
     }
 
-    fn encode_start(
+    fn encode_send(
         &mut self,
         attempt: AttemptId,
         payload: &RequestPayload,
--- a/src/backend/connection/responses.rs
+++ b/src/backend/connection/responses.rs
@@ -1,4 +1,4 @@
-//! The answers that arrive on a connection.
+//! The responses that arrive on a connection.
 
 use super::WorkerConnection;
 use super::health_check::HealthCheckState;
@@ -12,7 +12,7 @@
 };
 
 impl WorkerConnection {
-    /// Decodes a line of the worker and ends the exchange that it answers.
+    /// Decodes a line of the worker and ends the exchange that it responds to.
     pub(super) fn handle_line(&mut self, line: &[u8], context: &mut Context) -> ConnectionFlow {
         self.health_check.record_input();
         match self.codec.decode(line) {
@@ -21,7 +21,7 @@
             Err(error) => {
                 self.handle_decode_error(&error, context);
                 // It is no longer certain where lines begin and end, so that whatever is open on this
-                // connection could wait for its answer in vain.
+                // connection could wait for its response in vain.
                 return ConnectionFlow::Close;
             }
         }
@@ -33,7 +33,7 @@
             Some(Exchange::Attempt(attempt)) => self.end_attempt(attempt, message, context),
             Some(Exchange::LoadOrder(order)) => end_load_order(order, &message, context),
             Some(Exchange::HealthCheck(check)) => self.fail_health_check(check, context),
-            // The answer to something that has been cancelled or was never sent.
+            // The response to something that has been cancelled or was never sent.
             None => {}
         }
         self.phase.record_activity(context.now);
@@ -41,7 +41,7 @@
 
     fn end_attempt(&mut self, attempt: AttemptId, message: ResponseMessage, context: &mut Context) {
         // A request that was not served may be tried again under the same id. That attempt has to take
-        // another connection, so that a duplicate of this answer is not taken for its own.
+        // another connection, so that a duplicate of this response is not taken for its own.
         if !matches!(message.response, WorkerResponse::Ok(_)) {
             self.correlations.retire(message.correlation_id, context.now);
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ends a health check that was answered, but not with the message that the worker is alive.
+    /// Ends a health check that got a response, but not the one of a worker that is alive.
     fn fail_health_check(&mut self, check: HealthCheckId, context: &mut Context) {
         self.health_check = HealthCheckState::Responsive;
         let error = ExchangeError {
--- a/src/backend/correlation.rs
+++ b/src/backend/correlation.rs
@@ -9,23 +9,26 @@
 /// Retired ids kept at most: clients may cancel requests by the hundreds.
 pub(super) const MAX_RETIRED_IDS: usize = 1024;
 
-/// A command and its awaited answer.
+/// A command and its awaited response, on one connection.
+///
+/// It marks the border between the scheduler's ids and the wire's: a connection finds by it which attempt, load order or
+/// health check of the scheduler a worker's response belongs to. Commands that get no response open no exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Exchange {
     /// An attempt of a request.
     Attempt(AttemptId),
-    /// An order to load instances.
+    /// A load order.
     LoadOrder(LoadOrderId),
     /// A health check.
     HealthCheck(HealthCheckId),
 }
 
-/// The id under which an order to load is answered.
+/// The correlation id of a load order.
 pub(super) fn load_order_correlation_id(order: LoadOrderId) -> String {
     format!("load-{}", order.0)
 }
 
-/// The id under which a health check is answered.
+/// The correlation id of a health check.
 pub(super) fn health_check_correlation_id(check: HealthCheckId) -> String {
     format!("probe-{}", check.0)
 }
@@ -33,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Open(Exchange),
-    /// Cancelled or answered at this time: an answer that still comes belongs to no exchange.
+    /// Cancelled or responded to at this time: a response that still comes belongs to no exchange.
     Retired(Time),
 }
 
@@ -42,7 +45,7 @@
     retired_at: Time,
 }
 
-/// The open exchanges of a connection by correlation id, and the retired ids, under which an answer may still
+/// The open exchanges of a connection by correlation id, and the retired ids, under which a response may still
 /// come late.
 #[derive(Default)]
 pub(super) struct CorrelationTable {
@@ -50,7 +53,7 @@
     /// Ids of open attempts, and of cancelled ones until their cancellation is written.
     attempt_correlation_ids: HashMap<AttemptId, String>,
     open_attempts: usize,
-    /// In the order in which they were retired. Some may since have been answered late, and are free again.
+    /// In the order in which they were retired. Some may have got a late response since, and are free again.
     retired: VecDeque<RetiredId>,
 }
 
@@ -63,7 +66,7 @@
             .insert(attempt, correlation_id.to_owned());
     }
 
-    /// Opens an order to load.
+    /// Opens a load order.
     pub(super) fn open_load_order(&mut self, order: LoadOrderId) {
         self.open(load_order_correlation_id(order), Exchange::LoadOrder(order));
     }
@@ -103,7 +106,7 @@
         self.open_exchanges().next().is_some()
     }
 
-    /// Number of open exchanges. It is too low by the retired ids that have been answered late, until they
+    /// Number of open exchanges. It is too low by the retired ids that have got a late response, until they
     /// expire.
     pub(super) fn open_exchange_count(&self) -> usize {
         self.entries.len().saturating_sub(self.retired.len())
@@ -152,7 +155,7 @@
         self.attempt_correlation_ids.remove(&attempt)
     }
 
-    /// Keeps an id from being used again for a while, because an answer may still come under it.
+    /// Keeps an id from being used again for a while, because a response may still come under it.
     pub(super) fn retire(&mut self, correlation_id: String, now: Time) {
         self.entries.insert(correlation_id.clone(), Entry::Retired(now));
         self.retired.push_back(RetiredId {
--- a/src/backend/jsonrpc_codec.rs
+++ b/src/backend/jsonrpc_codec.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Encodes commands to JSON-RPC workers and decodes their answers.
+/// Encodes commands to JSON-RPC workers and decodes their responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonRpcCodec;
 
@@ -39,7 +39,7 @@
     Probe,
 }
 
-/// A JSON-RPC request, which is answered under its id.
+/// A JSON-RPC request, which gets a response under its id.
 #[derive(Serialize)]
 struct Request<'a, Params> {
     id: &'a str,
@@ -48,7 +48,7 @@
     params: Params,
 }
 
-/// A JSON-RPC notification, which is not answered.
+/// A JSON-RPC notification, which gets no response.
 #[derive(Serialize)]
 struct Notification<Params> {
     jsonrpc: &'static str,
@@ -147,7 +147,7 @@
         let Some(Value::String(correlation_id)) = message.get("id") else {
             return Err(DecodeError::without_correlation_id(DecodeErrorKind::ForeignId));
         };
-        interpret(&message, correlation_id).map_err(|kind| DecodeError::in_answer_to(correlation_id, kind))
+        interpret(&message, correlation_id).map_err(|kind| DecodeError::in_response_to(correlation_id, kind))
     }
 }
 
@@ -172,7 +172,7 @@
 }
 
 fn interpret_result(result: &Value, correlation_id: &str) -> Result<WorkerMessage, DecodeErrorKind> {
-    // Only answers to health checks have a load.
+    // Only responses to health checks have a load.
     if result.get("load").is_some() {
         let correlation_id = correlation_id.to_owned();
         return Ok(WorkerMessage::Alive { correlation_id });
--- a/src/backend/node_agent_codec.rs
+++ b/src/backend/node_agent_codec.rs
@@ -13,13 +13,13 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Encodes commands to node agents and decodes their answers.
+/// Encodes commands to node agents and decodes their responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeAgentCodec;
 
 /// A command to a node agent.
 #[derive(Serialize)]
-struct Command<'a> {
+struct AgentCommand<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     attrs: Option<Attributes<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -73,7 +73,7 @@
 
 /// A command that consists of a verb and an id.
 fn bare_command(verb: CommandVerb, rid: &str) -> Vec<u8> {
-    json_line(&Command {
+    json_line(&AgentCommand {
         attrs: None,
         content: None,
         rid,
@@ -81,10 +81,10 @@
     })
 }
 
-/// An answer of a node agent. Fields may be numbers or text, and unknown or unusable attributes are
+/// A response of a node agent. Fields may be numbers or text, and unknown or unusable attributes are
 /// tolerated, so that most fields are interpreted only after parsing.
 #[derive(Deserialize)]
-struct Answer {
+struct AgentResponse {
     verb: Value,
     #[serde(default)]
     rid: Value,
@@ -94,35 +94,35 @@
     content: Option<String>,
 }
 
-enum AnswerVerb {
+enum ResponseVerb {
     Ok,
     Miss,
     Full,
     Error,
     Expired,
     Alive,
-    /// The node agent answers, but its process takes no work.
+    /// The node agent responds, but its process takes no work.
     Dead,
 }
 
-impl AnswerVerb {
-    fn from_wire(word: &str) -> Option<AnswerVerb> {
+impl ResponseVerb {
+    fn from_wire(word: &str) -> Option<ResponseVerb> {
         match word {
-            "200" => Some(AnswerVerb::Ok),
-            "404" => Some(AnswerVerb::Miss),
-            "503" => Some(AnswerVerb::Full),
-            "500" => Some(AnswerVerb::Error),
-            "504" => Some(AnswerVerb::Expired),
-            "alive" => Some(AnswerVerb::Alive),
-            "dead" => Some(AnswerVerb::Dead),
+            "200" => Some(ResponseVerb::Ok),
+            "404" => Some(ResponseVerb::Miss),
+            "503" => Some(ResponseVerb::Full),
+            "500" => Some(ResponseVerb::Error),
+            "504" => Some(ResponseVerb::Expired),
+            "alive" => Some(ResponseVerb::Alive),
+            "dead" => Some(ResponseVerb::Dead),
             _ => None,
         }
     }
 }
 
-/// Key of the number of loaded instances in an answer's attributes.
+/// Key of the number of loaded instances in a response's attributes.
 const INSTANCES_KEY: &str = "replicas";
-/// Key of the load report in an answer's attributes.
+/// Key of the load report in a response's attributes.
 const LOAD_REPORT_KEY: &str = "rep";
 
 impl Codec for NodeAgentCodec {
@@ -133,7 +133,7 @@
             name: function_name(payload.function),
             ttl: remaining_milliseconds(now, deadline),
         };
-        json_line(&Command {
+        json_line(&AgentCommand {
             attrs: Some(Attributes::Request(attributes)),
             content: Some(STANDARD.encode(&payload.body)),
             rid: &payload.correlation_id,
@@ -150,7 +150,7 @@
             name: function_name(function),
             replicas: instances,
         };
-        json_line(&Command {
+        json_line(&AgentCommand {
             attrs: Some(Attributes::Load(attributes)),
             content: None,
             rid: correlation_id,
@@ -167,37 +167,38 @@
     }
 
     fn decode(&self, line: &[u8]) -> Result<WorkerMessage, DecodeError> {
-        let answer: Answer = serde_json::from_slice(line)
-            .map_err(|_| DecodeError::without_correlation_id(DecodeErrorKind::NotAnAnswer))?;
-        let correlation_id = text_or_number(&answer.rid)
+        let response: AgentResponse = serde_json::from_slice(line)
+            .map_err(|_| DecodeError::without_correlation_id(DecodeErrorKind::NotAResponse))?;
+        let correlation_id = text_or_number(&response.rid)
             .ok_or_else(|| DecodeError::without_correlation_id(DecodeErrorKind::MissingRid))?;
-        interpret(&answer, &correlation_id).map_err(|kind| DecodeError::in_answer_to(&correlation_id, kind))
+        interpret(&response, &correlation_id)
+            .map_err(|kind| DecodeError::in_response_to(&correlation_id, kind))
     }
 }
 
-fn interpret(answer: &Answer, correlation_id: &str) -> Result<WorkerMessage, DecodeErrorKind> {
-    let verb = text_or_number(&answer.verb).ok_or(DecodeErrorKind::InvalidVerb)?;
-    let verb = AnswerVerb::from_wire(&verb).ok_or(DecodeErrorKind::UnknownVerb)?;
+fn interpret(response: &AgentResponse, correlation_id: &str) -> Result<WorkerMessage, DecodeErrorKind> {
+    let verb = text_or_number(&response.verb).ok_or(DecodeErrorKind::InvalidVerb)?;
+    let verb = ResponseVerb::from_wire(&verb).ok_or(DecodeErrorKind::UnknownVerb)?;
     let correlation_id = correlation_id.to_owned();
-    let response = match verb {
-        AnswerVerb::Ok => WorkerResponse::Ok(decode_content(answer)?),
-        AnswerVerb::Miss => WorkerResponse::Miss,
-        AnswerVerb::Full => WorkerResponse::AtCapacity,
-        AnswerVerb::Error | AnswerVerb::Dead => WorkerResponse::Error,
-        AnswerVerb::Expired => WorkerResponse::Expired,
-        AnswerVerb::Alive => return Ok(WorkerMessage::Alive { correlation_id }),
+    let worker_response = match verb {
+        ResponseVerb::Ok => WorkerResponse::Ok(decode_content(response)?),
+        ResponseVerb::Miss => WorkerResponse::Miss,
+        ResponseVerb::Full => WorkerResponse::AtCapacity,
+        ResponseVerb::Error | ResponseVerb::Dead => WorkerResponse::Error,
+        ResponseVerb::Expired => WorkerResponse::Expired,
+        ResponseVerb::Alive => return Ok(WorkerMessage::Alive { correlation_id }),
     };
     Ok(WorkerMessage::Response(ResponseMessage {
         correlation_id,
-        response,
-        instances: loaded_instances(&answer.attrs),
-        load_report: load_report(&answer.attrs),
+        response: worker_response,
+        instances: loaded_instances(&response.attrs),
+        load_report: load_report(&response.attrs),
     }))
 }
 
-/// The body of an answer; an answer without content has an empty one.
-fn decode_content(answer: &Answer) -> Result<Vec<u8>, DecodeErrorKind> {
-    let content = answer.content.as_deref().unwrap_or_default();
+/// The body of a response; a response without content has an empty one.
+fn decode_content(response: &AgentResponse) -> Result<Vec<u8>, DecodeErrorKind> {
+    let content = response.content.as_deref().unwrap_or_default();
     STANDARD
         .decode(content)
         .map_err(|_| DecodeErrorKind::ContentNotBase64)
@@ -209,7 +210,7 @@
 }
 
 /// The values of a load report such as `inflight:7;util:0.61`. Those that cannot be read are left out, so
-/// that a malformed load report does not spoil the answer that carries it.
+/// that a malformed load report does not spoil the response that carries it.
 fn load_report(attributes: &Value) -> Vec<ReportedMetric> {
     let report = attributes
         .get(LOAD_REPORT_KEY)
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -3,10 +3,10 @@
 use super::address::WorkerAddress;
 use super::codec::Codec;
 use super::connection::WorkerConnection;
-use super::job::Job;
 use super::jsonrpc_codec::JsonRpcCodec;
 use super::limits::Limits;
 use super::node_agent_codec::NodeAgentCodec;
+use super::worker_command::{AddressedCommand, WorkerCommand};
 use crate::model::{ConnectionId, Time, WorkerId};
 use crate::net::ConnectionFlow;
 use crate::runtime::Reactor;
@@ -21,14 +21,14 @@
 /// not known in advance, and one that has no more descriptors refuses each further connection with the
 /// request on it.
 const SHARED_CONNECTIONS_PER_WORKER: usize = 48;
-/// Attempts on a connection from which the next one opens another, while descriptors last. An answer that
+/// Attempts on a connection from which the next one opens another, while descriptors last. A response that
 /// cannot be decoded, or a reset, ends everything that is open on its connection.
 const ATTEMPTS_BEFORE_NEW_CONNECTION: usize = 1;
 /// Routes kept beyond two for each attempt in flight before those of ended attempts are dropped.
 const SPARE_ROUTES: usize = 256;
 
 /// A worker process in the endpoint list.
-struct Target {
+struct WorkerEntry {
     address: WorkerAddress,
     started_at: Option<Time>,
     connections: Vec<ConnectionId>,
@@ -42,7 +42,7 @@
 
 /// The workers' addresses and connections.
 pub struct Pool {
-    targets: BTreeMap<WorkerId, Target>,
+    workers: BTreeMap<WorkerId, WorkerEntry>,
     /// The connection of every attempt in flight, and of some that have ended.
     routes: HashMap<AttemptId, ConnectionId>,
     node_agent_codec: Rc<dyn Codec>,
@@ -55,7 +55,7 @@
     /// A pool without workers.
     pub fn new(limits: Limits) -> Pool {
         Pool {
-            targets: BTreeMap::new(),
+            workers: BTreeMap::new(),
             routes: HashMap::new(),
             node_agent_codec: Rc::new(NodeAgentCodec),
             jsonrpc_codec: Rc::new(JsonRpcCodec),
@@ -75,91 +75,57 @@
     /// Sets the address of a worker. If it is new, or another process has started there, nothing more is sent
     /// on the connections to the old process; what is open on them ends by itself.
     pub fn set_address(&mut self, worker: WorkerId, address: WorkerAddress, started_at: Option<Time>) {
-        let known = self.targets.get(&worker);
-        if known.is_some_and(|target| target.address == address && target.started_at == started_at) {
+        let known = self.workers.get(&worker);
+        if known.is_some_and(|entry| entry.address == address && entry.started_at == started_at) {
             return;
         }
-        let target = Target {
+        let entry = WorkerEntry {
             address,
             started_at,
             connections: Vec::new(),
         };
-        self.targets.insert(worker, target);
+        self.workers.insert(worker, entry);
     }
 
     /// Forgets a worker that has gone.
     pub fn remove(&mut self, worker: WorkerId) {
-        self.targets.remove(&worker);
+        self.workers.remove(&worker);
     }
 
     /// Forgets all workers that are not listed any more.
     pub fn retain(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
-        self.targets.retain(|worker, _| is_listed(*worker));
+        self.workers.retain(|worker, _| is_listed(*worker));
     }
 
     /// Carries out a command of the scheduler, if it is one for a worker.
     pub fn command(&mut self, command: Command, reactor: &mut Reactor) {
+        let Some(AddressedCommand { worker, command }) = AddressedCommand::from_scheduler(command) else {
+            return;
+        };
         match command {
-            Command::Send {
-                attempt,
-                worker,
-                payload,
-                deadline,
-            } => {
-                let job = Job::Start {
-                    attempt,
-                    payload,
-                    deadline,
-                };
-                self.submit(worker, job, reactor);
-            }
-            Command::Cancel { attempt, .. } => {
+            WorkerCommand::Cancel { attempt } => {
                 if let Some(connection) = self.routes.remove(&attempt) {
-                    submit_to(connection, Job::Cancel { attempt }, reactor);
+                    submit_to(connection, command, reactor);
                 }
             }
-            Command::Load {
-                order,
-                worker,
-                function,
-                instances,
-            } => {
-                let job = Job::Load {
-                    order,
-                    function,
-                    instances,
-                };
-                self.submit(worker, job, reactor);
-            }
-            Command::HealthCheck {
-                check,
-                worker,
-                deadline,
-            } => {
-                let job = Job::HealthCheck { check, deadline };
-                self.submit(worker, job, reactor);
-            }
-            Command::Unload { worker, function } => {
-                self.submit(worker, Job::Unload { function }, reactor);
-            }
-            Command::Respond { .. } => {}
+            _ => self.submit(worker, command, reactor),
         }
     }
 
     /// Hands a command for a worker to one of its connections, or reports that no connection can be had.
-    fn submit(&mut self, worker: WorkerId, job: Job, reactor: &mut Reactor) {
-        let correlation_id = job.attempt_correlation_id();
+    fn submit(&mut self, worker: WorkerId, command: WorkerCommand, reactor: &mut Reactor) {
+        let correlation_id = command.attempt_correlation_id();
         let Some(connection) = self.connection_to(worker, correlation_id, reactor) else {
-            return report_not_sent(&job, reactor.now(), &mut reactor.shared.scheduler);
+            return report_not_sent(&command, reactor.now(), &mut reactor.shared.scheduler);
         };
-        if let Job::Start { attempt, .. } = &job {
+        if let WorkerCommand::Send { attempt, .. } = &command {
             self.routes.insert(*attempt, connection);
         }
-        submit_to(connection, job, reactor);
+        submit_to(connection, command, reactor);
     }
 
     /// The connection that a command to a worker takes, which may be a new one. An attempt gives its
-    /// correlation id: two open attempts of one request must not share a connection, because their answers
+    /// correlation id: two open attempts of one request must not share a connection, because their responses
     /// would look alike.
     fn connection_to(
         &mut self,
@@ -169,23 +135,23 @@
     ) -> Option<ConnectionId> {
         let max_spread = self.max_spread();
         let descriptors_left = self.has_descriptors_left(reactor);
-        let target = self.targets.get_mut(&worker)?;
-        target
+        let entry = self.workers.get_mut(&worker)?;
+        entry
             .connections
             .retain(|connection| reactor.has_connection(*connection));
-        if let Some(candidate) = target.least_loaded_connection(correlation_id, reactor) {
+        if let Some(candidate) = entry.least_loaded_connection(correlation_id, reactor) {
             // Load orders and health checks share the connections that there are.
             let may_share =
                 correlation_id.is_none() || candidate.attempts_in_flight < ATTEMPTS_BEFORE_NEW_CONNECTION;
-            let may_open = target.connections.len() < max_spread && descriptors_left;
+            let may_open = entry.connections.len() < max_spread && descriptors_left;
             if may_share || !may_open {
                 return Some(candidate.connection);
             }
         }
-        if target.connections.len() >= MAX_CONNECTIONS_PER_WORKER {
+        if entry.connections.len() >= MAX_CONNECTIONS_PER_WORKER {
             return None;
         }
-        if !descriptors_left && !self.make_room(reactor) {
+        if !descriptors_left && !self.free_descriptor(reactor) {
             return None;
         }
         self.connect(worker, reactor)
@@ -199,8 +165,8 @@
         connections < limits.max_connections && outgoing < limits.max_outgoing_connections
     }
 
-    /// Closes an idle connection so that another fits.
-    fn make_room(&self, reactor: &mut Reactor) -> bool {
+    /// Frees a descriptor by closing an idle connection, so that another connection fits.
+    fn free_descriptor(&self, reactor: &mut Reactor) -> bool {
         let outgoing = reactor.connection_count() - reactor.client_count();
         if outgoing < self.limits.get().max_outgoing_connections {
             reactor.close_longest_idle()
@@ -213,7 +179,7 @@
     /// the rest is shared equally by all workers.
     fn max_spread(&self) -> usize {
         let limits = self.limits.get();
-        let share_of_descriptors = limits.max_connections * 2 / 3 / self.targets.len().max(1);
+        let share_of_descriptors = limits.max_connections * 2 / 3 / self.workers.len().max(1);
         let share_of_worker = SHARED_CONNECTIONS_PER_WORKER / limits.schedulers.max(1);
         share_of_descriptors
             .min(share_of_worker)
@@ -222,8 +188,8 @@
 
     /// Begins to establish a new connection to a worker.
     fn connect(&mut self, worker: WorkerId, reactor: &mut Reactor) -> Option<ConnectionId> {
-        let target = self.targets.get_mut(&worker)?;
-        let (stream, codec) = match &target.address {
+        let entry = self.workers.get_mut(&worker)?;
+        let (stream, codec) = match &entry.address {
             WorkerAddress::NodeAgent(address) => (reactor.connect(*address), &self.node_agent_codec),
             WorkerAddress::JsonRpc(path) => (reactor.connect_unix(path), &self.jsonrpc_codec),
         };
@@ -234,7 +200,7 @@
             Box::new(connection),
             WorkerConnection::BUFFER_LIMITS,
         )?;
-        target.connections.push(connection);
+        entry.connections.push(connection);
         Some(connection)
     }
 
@@ -252,7 +218,7 @@
     }
 }
 
-impl Target {
+impl WorkerEntry {
     /// The connection with the fewest attempts among those that accept a command; of equals the oldest.
     fn least_loaded_connection(&self, correlation_id: Option<&str>, reactor: &Reactor) -> Option<Candidate> {
         let candidates = self.connections.iter().filter_map(|id| {
@@ -268,24 +234,24 @@
 
 /// Hands a command to a connection. A cancellation for one that has closed is dropped: what was open has
 /// ended.
-fn submit_to(connection: ConnectionId, job: Job, reactor: &mut Reactor) {
+fn submit_to(connection: ConnectionId, command: WorkerCommand, reactor: &mut Reactor) {
     reactor.with_connection_of(connection, |worker: &mut WorkerConnection, socket, context| {
-        worker.submit(job, socket, context)
+        worker.submit(command, socket, context)
     });
 }
 
 /// Reports a command for which no connection can be had.
-fn report_not_sent(job: &Job, now: Time, scheduler: &mut Scheduler) {
-    match job {
-        Job::Start { attempt, .. } => scheduler.attempt_not_sent(now, *attempt),
-        Job::Load { order, .. } => scheduler.load_order_not_sent(now, *order),
-        Job::HealthCheck { check, .. } => {
+fn report_not_sent(command: &WorkerCommand, now: Time, scheduler: &mut Scheduler) {
+    match command {
+        WorkerCommand::Send { attempt, .. } => scheduler.attempt_not_sent(now, *attempt),
+        WorkerCommand::Load { order, .. } => scheduler.load_order_not_sent(now, *order),
+        WorkerCommand::HealthCheck { check, .. } => {
             let error = ExchangeError {
                 progress: WriteProgress::NotSent,
                 cause: FailureCause::NoConnection,
             };
             scheduler.health_check_ended(now, *check, Err(error));
         }
-        Job::Cancel { .. } | Job::Unload { .. } => {}
+        WorkerCommand::Cancel { .. } | WorkerCommand::Unload { .. } => {}
     }
 }
--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_answer_closes_its_exchange_once() {
+fn a_response_closes_its_exchange_once() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.open_load_order(LoadOrderId(3));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_attempt_that_was_answered_before_it_was_sent_is_counted_down_once() {
+fn an_attempt_that_got_its_response_before_it_was_sent_is_counted_down_once() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.open_attempt(NEXT_ATTEMPT, "b");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_late_answer_belongs_to_no_exchange_and_frees_its_id() {
+fn a_late_response_belongs_to_no_exchange_and_frees_its_id() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.cancel_attempt(ATTEMPT, START);
--- a/src/backend/tests/jsonrpc_codec.rs
+++ b/src/backend/tests/jsonrpc_codec.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn valid_answers_are_decoded() {
+fn valid_responses_are_decoded() {
     assert_decoded(
         &JsonRpcCodec,
         vec![
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn malformed_answers_are_decode_errors() {
+fn malformed_responses_are_decode_errors() {
     assert_decoded(
         &JsonRpcCodec,
         vec![
--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the back end.
+//! Unit tests of the backend.
 
 mod connection;
 mod correlation;
@@ -6,7 +6,7 @@
 mod node_agent_codec;
 mod write_queue;
 
-use super::job::Job;
+use super::worker_command::WorkerCommand;
 use super::{Codec, DecodeError, DecodeErrorKind, ResponseMessage, WorkerMessage};
 use crate::model::{FunctionId, Time};
 use crate::scheduler::{AttemptId, LoadOrderId, RequestPayload, WorkerResponse};
@@ -80,16 +80,16 @@
     }
 }
 
-fn start(attempt: AttemptId) -> Job {
-    Job::Start {
+fn start(attempt: AttemptId) -> WorkerCommand {
+    WorkerCommand::Send {
         attempt,
         payload: Rc::new(empty_request()),
         deadline: Time(1),
     }
 }
 
-fn load(order: LoadOrderId) -> Job {
-    Job::Load {
+fn load(order: LoadOrderId) -> WorkerCommand {
+    WorkerCommand::Load {
         order,
         function: FUNCTION,
         instances: 1,
--- a/src/backend/tests/node_agent_codec.rs
+++ b/src/backend/tests/node_agent_codec.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn valid_answers_are_decoded() {
+fn valid_responses_are_decoded() {
     assert_decoded(
         &NodeAgentCodec,
         vec![
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn malformed_answers_are_decode_errors() {
+fn malformed_responses_are_decode_errors() {
     assert_decoded(
         &NodeAgentCodec,
         vec![
@@ -96,16 +96,16 @@
             ),
             (
                 r#"{"verb":"200","rid":"a""#,
-                decode_error(None, DecodeErrorKind::NotAnAnswer),
+                decode_error(None, DecodeErrorKind::NotAResponse),
             ),
-            ("[]", decode_error(None, DecodeErrorKind::NotAnAnswer)),
-            ("", decode_error(None, DecodeErrorKind::NotAnAnswer)),
+            ("[]", decode_error(None, DecodeErrorKind::NotAResponse)),
+            ("", decode_error(None, DecodeErrorKind::NotAResponse)),
         ],
     );
 }
 
 #[test]
-fn unusual_but_tolerated_answers_are_decoded() {
+fn unusual_but_tolerated_responses_are_decoded() {
     assert_decoded(
         &NodeAgentCodec,
         vec![
@@ -131,7 +131,7 @@
             ),
             (
                 r#"{"verb":"200","verb":"200","rid":"a"}"#,
-                decode_error(None, DecodeErrorKind::NotAnAnswer),
+                decode_error(None, DecodeErrorKind::NotAResponse),
             ),
         ],
     );
--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -2,7 +2,7 @@
 
 use super::{load, start};
 use crate::backend::correlation::Exchange;
-use crate::backend::job::Job;
+use crate::backend::worker_command::WorkerCommand;
 use crate::backend::write_queue::{UnfinishedExchange, WriteQueue};
 use crate::model::{RequestId, Time};
 use crate::scheduler::{AttemptId, HealthCheckId, LoadOrderId, WriteProgress};
@@ -18,8 +18,8 @@
 const ORDER: LoadOrderId = LoadOrderId(3);
 const CHECK: HealthCheckId = HealthCheckId(4);
 
-fn health_check() -> Job {
-    Job::HealthCheck {
+fn health_check() -> WorkerCommand {
+    WorkerCommand::HealthCheck {
         check: CHECK,
         deadline: Time(1),
     }
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn commands_without_an_answer_are_not_reported() {
+fn commands_without_a_response_are_not_reported() {
     let mut queue = WriteQueue::default();
-    queue.push(Job::Cancel {
+    queue.push(WorkerCommand::Cancel {
         attempt: FIRST_ATTEMPT,
     });
-    queue.push(Job::Unload {
+    queue.push(WorkerCommand::Unload {
         function: super::FUNCTION,
     });
     assert_eq!(progress(&queue, &[], 0), vec![]);
@@ -111,10 +111,10 @@
     let mut queue = WriteQueue::default();
     queue.push(start(FIRST_ATTEMPT));
     queue.push(start(SECOND_ATTEMPT));
-    assert!(queue.remove_start(SECOND_ATTEMPT));
-    assert!(!queue.remove_start(SECOND_ATTEMPT));
+    assert!(queue.remove_send(SECOND_ATTEMPT));
+    assert!(!queue.remove_send(SECOND_ATTEMPT));
     assert!(queue.pop().is_some(), "the first attempt's");
-    assert!(!queue.remove_start(FIRST_ATTEMPT));
+    assert!(!queue.remove_send(FIRST_ATTEMPT));
     assert!(queue.pop().is_none());
 }
 
--- a/src/backend/write_queue.rs
+++ b/src/backend/write_queue.rs
@@ -1,7 +1,7 @@
 //! The commands that wait on a connection, and how far each command has been written.
 
 use super::correlation::Exchange;
-use super::job::Job;
+use super::worker_command::WorkerCommand;
 use crate::scheduler::{AttemptId, WriteProgress};
 use std::collections::{HashSet, VecDeque};
 
@@ -15,27 +15,27 @@
 /// The commands that wait on a connection. At most one is being written at a time.
 #[derive(Default)]
 pub(super) struct WriteQueue {
-    waiting: VecDeque<Job>,
-    /// The attempt or order to load whose bytes the operating system may not all have taken. Health checks
+    waiting: VecDeque<WorkerCommand>,
+    /// The attempt or load order whose bytes the operating system may not all have taken. Health checks
     /// are not tracked: they may be repeated however far they were written.
     writing: Option<Exchange>,
 }
 
 impl WriteQueue {
     /// Appends a command.
-    pub(super) fn push(&mut self, job: Job) {
-        self.waiting.push_back(job);
+    pub(super) fn push(&mut self, command: WorkerCommand) {
+        self.waiting.push_back(command);
     }
 
     /// Takes the next command. It may only be written once the one before has been written completely.
-    pub(super) fn pop(&mut self) -> Option<Job> {
+    pub(super) fn pop(&mut self) -> Option<WorkerCommand> {
         self.waiting.pop_front()
     }
 
-    /// Removes the start of an attempt, if it still waits.
-    pub(super) fn remove_start(&mut self, attempt: AttemptId) -> bool {
-        let starts_attempt = |job: &Job| job.exchange() == Some(Exchange::Attempt(attempt));
-        let position = self.waiting.iter().position(starts_attempt);
+    /// Removes the command that starts an attempt, if it still waits.
+    pub(super) fn remove_send(&mut self, attempt: AttemptId) -> bool {
+        let sends_attempt = |command: &WorkerCommand| command.exchange() == Some(Exchange::Attempt(attempt));
+        let position = self.waiting.iter().position(sends_attempt);
         position
             .and_then(|position| self.waiting.remove(position))
             .is_some()
@@ -80,7 +80,7 @@
         open_exchanges: impl Iterator<Item = Exchange>,
         unsent_bytes: usize,
     ) -> Vec<UnfinishedExchange> {
-        let waiting: Vec<Exchange> = self.waiting.iter().filter_map(Job::exchange).collect();
+        let waiting: Vec<Exchange> = self.waiting.iter().filter_map(WorkerCommand::exchange).collect();
         let not_sent = waiting.iter().map(|exchange| UnfinishedExchange {
             exchange: *exchange,
             progress: WriteProgress::NotSent,
