--- a/src/backend/address.rs
+++ b/src/backend/address.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The address of a worker, which also tells the wire format that the worker speaks.
+/// The address of a worker, which also determines its wire format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerAddress {
     /// A node agent on TCP.
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -97,7 +97,7 @@
         self.workers.retain(|worker, _| is_listed(*worker));
     }
 
-    /// Carries out a command of the scheduler, if it is one for a worker.
+    /// Executes a command of the scheduler, if it is one for a worker.
     pub fn command(&mut self, command: Command, reactor: &mut Reactor) {
         let Some(AddressedCommand { worker, command }) = AddressedCommand::from_scheduler(command) else {
             return;
--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -1,17 +1,12 @@
 //! Open and retired correlation ids.
 
+use super::attempt;
 use crate::backend::correlation::{CorrelationTable, Exchange, MAX_RETIRED_IDS, RETIRED_ID_TTL};
-use crate::model::{RequestId, Span, Time};
+use crate::model::{Span, Time};
 use crate::scheduler::{AttemptId, HealthCheckId, LoadOrderId};
 
-const ATTEMPT: AttemptId = AttemptId {
-    request: RequestId(1),
-    number: 0,
-};
-const NEXT_ATTEMPT: AttemptId = AttemptId {
-    request: RequestId(1),
-    number: 1,
-};
+const ATTEMPT: AttemptId = attempt(1, 0);
+const NEXT_ATTEMPT: AttemptId = attempt(1, 1);
 const START: Time = Time(1_000);
 
 /// A time at which an id that was retired at the start has just expired.
--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -8,7 +8,7 @@
 
 use super::worker_command::WorkerCommand;
 use super::{Codec, DecodeError, DecodeErrorKind, ResponseMessage, WorkerMessage};
-use crate::model::{FunctionId, Time};
+use crate::model::{FunctionId, RequestId, Time};
 use crate::scheduler::{AttemptId, LoadOrderId, RequestPayload, WorkerResponse};
 use serde_json::Value;
 use std::rc::Rc;
@@ -80,6 +80,13 @@
     }
 }
 
+const fn attempt(request: u32, number: u16) -> AttemptId {
+    AttemptId {
+        request: RequestId(request),
+        number,
+    }
+}
+
 fn start(attempt: AttemptId) -> WorkerCommand {
     WorkerCommand::Send {
         attempt,
--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -1,20 +1,14 @@
 //! How far a command had been written when its connection closed.
 
-use super::{load, start};
+use super::{attempt, load, start};
 use crate::backend::correlation::Exchange;
 use crate::backend::worker_command::WorkerCommand;
 use crate::backend::write_queue::{UnfinishedExchange, WriteQueue};
-use crate::model::{RequestId, Time};
+use crate::model::Time;
 use crate::scheduler::{AttemptId, HealthCheckId, LoadOrderId, WriteProgress};
 
-const FIRST_ATTEMPT: AttemptId = AttemptId {
-    request: RequestId(1),
-    number: 0,
-};
-const SECOND_ATTEMPT: AttemptId = AttemptId {
-    request: RequestId(2),
-    number: 0,
-};
+const FIRST_ATTEMPT: AttemptId = attempt(1, 0);
+const SECOND_ATTEMPT: AttemptId = attempt(2, 0);
 const ORDER: LoadOrderId = LoadOrderId(3);
 const CHECK: HealthCheckId = HealthCheckId(4);
 
--- a/src/backend/write_queue.rs
+++ b/src/backend/write_queue.rs
@@ -71,7 +71,7 @@
     ///
     /// - [`WriteProgress::NotSent`] if its command still waited;
     /// - [`WriteProgress::PartiallyWritten`] if its command was being written and bytes of it are left: the
-    ///   line that the worker has received has no end, so that it cannot have been carried out;
+    ///   line that the worker has received has no end, so that it cannot have been executed;
     /// - [`WriteProgress::Written`] otherwise.
     ///
     /// The commands that waited come first, in their order.
--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -14,7 +14,7 @@
 
 /// Length of a frame's length field, in bytes.
 pub(crate) const LENGTH_FIELD_LENGTH: usize = 4;
-/// Largest value of the length field that is accepted, in bytes: room for some 38,000 records.
+/// Largest value of the length field that is accepted, in bytes: enough for some 38,000 records.
 pub(crate) const MAX_FRAME_LENGTH: usize = 1 << 20;
 /// Length of the fields offset and kind together, in bytes: the smallest value of the length field.
 const HEADER_LENGTH: usize = 9;
@@ -45,7 +45,7 @@
 /// Wire values of a frame's kind.
 mod frame_kind {
     pub(super) const HEARTBEAT: u8 = 0;
-    pub(super) const FULL_LIST: u8 = 1;
+    pub(super) const SNAPSHOT: u8 = 1;
     pub(super) const DELTA: u8 = 2;
 }
 
@@ -82,12 +82,12 @@
     Event(WatchEvent),
 }
 
-/// A frame and the room that it took.
+/// A frame and its length on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DecodedFrame {
     /// The frame.
     pub(crate) frame: Frame,
-    /// Bytes of the buffer that it took, with its length field.
+    /// Length of the frame in bytes, with its length field.
     pub(crate) encoded_length: usize,
 }
 
@@ -118,7 +118,7 @@
 fn decode_body(header: &[u8; HEADER_LENGTH], records: &[u8]) -> Result<Frame, DecodeError> {
     let kind = match header[frame_field::KIND] {
         frame_kind::HEARTBEAT => return Ok(Frame::Heartbeat),
-        frame_kind::FULL_LIST => EndpointUpdateKind::Snapshot,
+        frame_kind::SNAPSHOT => EndpointUpdateKind::Snapshot,
         frame_kind::DELTA => EndpointUpdateKind::Delta,
         _ => return Err(DecodeError::UnknownFrameKind),
     };
--- a/src/discovery/event.rs
+++ b/src/discovery/event.rs
@@ -1,4 +1,4 @@
-//! Events of the endpoint watch, as published by the event bus or given in the configuration file.
+//! Events of the endpoint watch, as published by the discovery service or given in the configuration file.
 
 use crate::model::{Endpoint, EndpointUpdateKind, Span, Time};
 use std::net::SocketAddr;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,8 @@
 //! Service discovery: which workers there are, and where they listen.
 //!
-//! The platform's event bus publishes numbered changes of the endpoint list. `Discovery` follows it: it
+//! The platform's discovery service publishes the endpoint list as numbered watch events. `Discovery` watches it: it
 //! owns the connection, its backoff and its move to another address, and the endpoint list that the events
-//! make up. The server takes changes from it one by one and carries them out. The wire format is in `codec`,
+//! make up. The server takes changes from it one by one and applies them. The wire format is in `codec`,
 //! a single connection in `watch_connection`, the list in `endpoint_list`.
 
 mod codec;
@@ -28,7 +28,7 @@
 use tracing::warn;
 use watch_connection::{WatchConnection, WatchQueue};
 
-/// Delays before a new connection. They stay short: what the event bus publishes counts as known to the
+/// Delays before a new connection. They stay short: what the discovery service publishes counts as known to the
 /// scheduler whether it is connected or not.
 const RECONNECT_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(100), 2);
 /// Buffers of a connection: input for the largest frame; nearly no output, as only an offset is sent.
@@ -40,7 +40,7 @@
 /// The watch of the endpoint list, and the list.
 pub(crate) struct Discovery {
     endpoints: EndpointList,
-    /// Where the event bus listens. Without an address the list changes on reloads only.
+    /// Where the discovery service listens. Without an address the list changes on reloads only.
     watch_address: Option<SocketAddr>,
     /// Shared with the current connection, and with no earlier one after a move.
     queue: Rc<RefCell<WatchQueue>>,
@@ -52,7 +52,7 @@
 
 impl Discovery {
     /// Begins with the workers of the operator's file and the events that the configuration holds. The first
-    /// connection to the event bus is due at `now`.
+    /// connection to the discovery service is due at `now`.
     pub(crate) fn new(
         watch_address: Option<SocketAddr>,
         known: Vec<WatchEvent>,
@@ -98,7 +98,7 @@
         self.endpoints.set_configured(configured)
     }
 
-    /// Begins a connection to the event bus when there is none and its time has come.
+    /// Begins a connection to the discovery service when there is none and its time has come.
     pub(crate) fn poll_watch(&mut self, now: Time, reactor: &mut Reactor) {
         let Some(address) = self.watch_address else {
             self.reconnect_at = None;
@@ -115,7 +115,7 @@
     }
 
     /// Takes the events that a reloaded configuration holds, as far as they continue what has been received:
-    /// the event bus goes on counting, and a delta is of use only directly after the event before it.
+    /// the discovery service goes on counting, and a delta is of use only directly after the event before it.
     pub(crate) fn offer_known(&mut self, known: Vec<WatchEvent>) {
         let mut queue = self.queue.borrow_mut();
         for event in known {
@@ -174,7 +174,7 @@
             Ok(stream) => stream,
             Err(error) => {
                 if reactor.shared.scheduler.admits_log_line(now) {
-                    warn!("bus connection failed why=\"{error}\"");
+                    warn!(cause = error.to_string(), "watch connection failed");
                 }
                 return None;
             }
--- a/src/discovery/tests/codec.rs
+++ b/src/discovery/tests/codec.rs
@@ -5,7 +5,7 @@
 use crate::model::{CellId, Endpoint, EndpointState, EndpointUpdateKind, KindId, Time, WorkerId, ZoneId};
 
 const HEARTBEAT: u8 = 0;
-const FULL_LIST: u8 = 1;
+const SNAPSHOT: u8 = 1;
 const DELTA: u8 = 2;
 
 fn encode_record(state: u8) -> Vec<u8> {
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_frame_is_taken_from_the_start_of_a_longer_buffer() {
-    let first = encode_frame(FULL_LIST, &[]);
+    let first = encode_frame(SNAPSHOT, &[]);
     let buffer = [first.clone(), encode_frame(DELTA, &encode_record(0))].concat();
     let decoded = decode_frame(&buffer).unwrap().unwrap();
     assert_eq!(decoded.encoded_length, first.len());
@@ -96,12 +96,12 @@
             "unknown kind",
         ),
         (
-            encode_frame(FULL_LIST, &encode_record(3)),
+            encode_frame(SNAPSHOT, &encode_record(3)),
             DecodeError::UnknownState,
             "unknown state",
         ),
         (
-            encode_frame(FULL_LIST, &encode_record(0)[..26]),
+            encode_frame(SNAPSHOT, &encode_record(0)[..26]),
             DecodeError::TruncatedRecord,
             "a record is cut short",
         ),
--- a/src/discovery/tests/endpoint_list.rs
+++ b/src/discovery/tests/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list.
 
-use super::{address, delta, endpoint, full_list, record, started_endpoint};
+use super::{address, delta, endpoint, record, snapshot, started_endpoint};
 use crate::discovery::endpoint_list::{AddressChange, EndpointChange, EndpointList};
 use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, WorkerId};
 
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn a_full_list_ends_the_workers_that_it_leaves_out() {
+fn a_snapshot_ends_the_workers_that_it_leaves_out() {
     let (first, second) = (
         endpoint(1, EndpointState::Ready),
         endpoint(2, EndpointState::Ready),
     );
     let mut list = EndpointList::new(Vec::new());
-    list.apply_watch_event(full_list(1, vec![record(first, 81), record(second, 82)]));
-    let change = list.apply_watch_event(full_list(2, vec![record(second, 82)]));
+    list.apply_watch_event(snapshot(1, vec![record(first, 81), record(second, 82)]));
+    let change = list.apply_watch_event(snapshot(2, vec![record(second, 82)]));
     let expected = EndpointChange {
         kind: EndpointUpdateKind::Snapshot,
         endpoints: vec![second],
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn a_full_list_keeps_the_configured_workers() {
+fn a_snapshot_keeps_the_configured_workers() {
     let (configured, listed) = (
         endpoint(7, EndpointState::Ready),
         endpoint(1, EndpointState::Ready),
     );
     let mut list = EndpointList::new(vec![configured]);
-    let change = list.apply_watch_event(full_list(1, vec![record(listed, 81)]));
+    let change = list.apply_watch_event(snapshot(1, vec![record(listed, 81)]));
     assert_eq!(change.endpoints, [listed, configured]);
     assert_eq!(change.address_changes, [assigned(listed, 81)]);
 }
@@ -61,7 +61,7 @@
         endpoint(2, EndpointState::Ready),
     );
     let mut list = EndpointList::new(vec![endpoint(7, EndpointState::Ready)]);
-    list.apply_watch_event(full_list(1, vec![record(first, 81), record(second, 82)]));
+    list.apply_watch_event(snapshot(1, vec![record(first, 81), record(second, 82)]));
     let (draining, gone) = (
         endpoint(1, EndpointState::Draining),
         endpoint(2, EndpointState::Gone),
@@ -92,7 +92,7 @@
         endpoint(2, EndpointState::Ready),
     );
     let mut list = EndpointList::new(Vec::new());
-    let change = list.apply_watch_event(full_list(1, vec![record(first, 81), record(second, 81)]));
+    let change = list.apply_watch_event(snapshot(1, vec![record(first, 81), record(second, 81)]));
     assert_eq!(change.endpoints, [first, replaced(1), second]);
     assert_eq!(
         change.address_changes,
--- a/src/discovery/tests/mod.rs
+++ b/src/discovery/tests/mod.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn full_list(offset: u64, endpoints: Vec<EndpointRecord>) -> WatchEvent {
+fn snapshot(offset: u64, endpoints: Vec<EndpointRecord>) -> WatchEvent {
     WatchEvent {
         offset,
         kind: EndpointUpdateKind::Snapshot,
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// A connection without a frame for this long counts as dead: the event bus sends a heartbeat each second.
+/// A connection without a frame for this long counts as dead: the discovery service sends a heartbeat each second.
 pub(super) const WATCH_SILENCE_TIMEOUT: Span = Span::from_millis(2_500);
 
 /// What a connection of the watch leaves for [`Discovery`](super::Discovery), which shares it.
@@ -44,7 +44,7 @@
     }
 }
 
-/// A connection to the event bus: asks for the events after the last one received, and queues them.
+/// A connection to the discovery service: asks for the events after the last one received, and queues them.
 pub(super) struct WatchConnection {
     queue: Rc<RefCell<WatchQueue>>,
     silent_at: Time,
@@ -73,7 +73,7 @@
 
     fn handle_undecodable(&self, error: DecodeError, context: &mut Context) -> ConnectionFlow {
         context.shared.scheduler.counters().decode_errors += 1;
-        warn!("bus unreadable why=\"{error}\"");
+        warn!(cause = error.to_string(), "watch event undecodable");
         ConnectionFlow::Close
     }
 }
@@ -107,7 +107,7 @@
 
     fn timer_expired(&mut self, _socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         if self.silent_at <= context.now {
-            warn!("bus silent");
+            warn!("watch connection silent");
             return ConnectionFlow::Close;
         }
         ConnectionFlow::Continue
@@ -118,7 +118,7 @@
     }
 
     fn closed(&mut self, _socket: &BufferedStream, cause: CloseCause, _context: &mut Context) {
-        debug!("bus connection ended cause=\"{cause}\"");
+        debug!(cause = cause.to_string(), "watch connection closed");
         let mut queue = self.queue.borrow_mut();
         queue.disconnected = true;
         queue.failed_connections += 1;
--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells the peer that nothing more is written.
+    /// Shuts down the sending half, so that the peer sees its end.
     pub(super) fn shutdown_write(&self) {
         self.stream.shutdown_write();
     }
@@ -138,7 +138,7 @@
         self.input_left_in_socket = true;
     }
 
-    /// Reads until the socket is empty, which is answered with true, or a buffer's limit is passed.
+    /// Reads until the socket is empty or a buffer's limit is passed; true if it is empty.
     pub(super) fn fill(&mut self) -> io::Result<bool> {
         let mut chunk = [0u8; READ_CHUNK];
         let buffered_before = self.input.len();
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Tells the system which events are waited for now.
+    /// Registers with the system the events that are waited for now.
     ///
     /// Events are edge-triggered: input that was left in the socket is reported again only if the
     /// registration is renewed.
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -3,7 +3,7 @@
 use super::Reactor;
 use super::managed_connection::ManagedConnection;
 use super::token::EventSource;
-use crate::model::{ConnectionId, Span, Time};
+use crate::model::{ConnectionId, Time};
 use crate::net::{
     BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, Context, SharedState, Stream,
 };
@@ -12,8 +12,6 @@
 
 /// Bytes of unsent output that a connection may always have, however much all of them have together.
 const ALWAYS_ALLOWED_UNSENT: usize = 64 << 10;
-/// Pause before the system is asked once more to report a connection's events, after it has refused.
-const REGISTRATION_RETRY_DELAY: Span = Span::from_millis(20);
 
 impl<S: SharedState + 'static> Reactor<S> {
     /// Adds a connection whose stream is connected; its id, or none where it closed at once.
@@ -94,11 +92,6 @@
         self.connections.contains_key(&id)
     }
 
-    /// Since when a connection has been idle; see [`Connection::idle_since`].
-    pub fn idle_since(&self, id: ConnectionId) -> Option<Time> {
-        self.connections.get(&id)?.idle_since()
-    }
-
     /// The connection of this id, if it was added as a `C` and is not closed.
     pub fn connection<C: Connection<S>>(&self, id: ConnectionId) -> Option<&C> {
         let connection: &dyn Any = self.connections.get(&id)?.connection.as_ref();
@@ -152,8 +145,9 @@
         };
         self.clients -= usize::from(managed.is_client);
         debug!(
-            "connection closed connection={id} cause=\"{}\"",
-            managed.close_cause()
+            connection = id.0,
+            cause = managed.close_cause().to_string(),
+            "connection closed"
         );
         self.unsent = self.unsent.saturating_sub(managed.stream.unsent());
         self.timers.reschedule(id, managed.timer, None);
@@ -161,37 +155,6 @@
         managed.stream.deregister(self.poll.registry());
     }
 
-    /// Closes the connection that has been idle for longest, as the least likely to be used again; false if
-    /// none is idle.
-    pub fn close_longest_idle(&mut self) -> bool {
-        self.close_longest_idle_of(|_| true)
-    }
-
-    /// The same among the connections at whose other end is no client.
-    pub fn close_longest_idle_outgoing(&mut self) -> bool {
-        self.close_longest_idle_of(|managed| !managed.is_client)
-    }
-
-    fn close_longest_idle_of(&mut self, may_close: impl Fn(&ManagedConnection<S>) -> bool) -> bool {
-        let candidates = self.connections.iter().filter(|(_, managed)| may_close(managed));
-        let idle = candidates.filter_map(|(id, managed)| Some((managed.idle_since()?, *id)));
-        let mut idle: Vec<(Time, ConnectionId)> = idle.collect();
-        idle.sort_unstable();
-        idle.into_iter().any(|(_, id)| self.close_if_idle(id))
-    }
-
-    /// Closes a connection to free its descriptor, unless something has come on it that no poll has reported yet;
-    /// whether it is closed.
-    pub fn close_if_idle(&mut self, id: ConnectionId) -> bool {
-        self.call(id, |managed, context| managed.handle_event(true, context));
-        let is_busy = |managed: &ManagedConnection<S>| managed.idle_since().is_none();
-        if self.connections.get(&id).is_some_and(is_busy) {
-            return false;
-        }
-        self.close_connection(id, CloseCause::DescriptorNeeded);
-        true
-    }
-
     /// Whether any connection still has output to write.
     pub fn has_unsent_output(&self) -> bool {
         self.connections
@@ -228,7 +191,7 @@
         let mut flow = managed.call(&mut context, callback);
         let unsent = managed.stream.unsent();
         self.unsent = (self.unsent + unsent).saturating_sub(unsent_before);
-        // Memory is bounded, and so is how much of it peers that don't read may hold.
+        // Memory is bounded, and so is how much of it peers that don't read may use.
         let grew = unsent > unsent_before && unsent > ALWAYS_ALLOWED_UNSENT;
         if grew && self.unsent > self.unsent_limit {
             managed.set_close_cause(CloseCause::OutputUnread);
@@ -237,29 +200,11 @@
         if managed.apply_flow(flow) {
             return self.remove_connection(id);
         }
-        managed.registers_at = match managed.stream.register(self.poll.registry()) {
-            Ok(()) => None,
-            Err(error) => {
-                context.shared.registration_failed();
-                debug!("registration failed connection={id} why=\"{error}\"");
-                Some(context.now + REGISTRATION_RETRY_DELAY)
-            }
-        };
+        managed.register(self.poll.registry(), &mut context);
         let deadline = managed.deadline();
         if deadline != managed.timer {
             self.timers.reschedule(id, managed.timer, deadline);
             managed.timer = deadline;
         }
     }
-
-    /// Calls the connections whose timers have expired.
-    pub(super) fn fire_timers(&mut self) {
-        let now = self.clock.now();
-        while let Some(id) = self.timers.pop_expired(now) {
-            if let Some(managed) = self.connections.get_mut(&id) {
-                managed.timer = None;
-            }
-            self.call(id, ManagedConnection::handle_timer);
-        }
-    }
 }
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -1,11 +1,12 @@
 //! A connection as the reactor keeps it: its stream, the object that is called back, and how far its end has
 //! come.
 
-use crate::model::Time;
+use crate::model::{Span, Time};
 use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow, Context, SharedState};
+use mio::Registry;
 use std::io;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use tracing::error;
+use tracing::{debug, error};
 
 /// Bytes read from one connection in one turn. A peer that sends at full speed must not keep the others
 /// waiting.
@@ -13,12 +14,14 @@
 /// Bytes that are still read, and discarded, from a connection that is closing. A peer that goes on beyond
 /// them is cut off, so that it doesn't keep the processor busy.
 const MAX_DISCARDED_INPUT: usize = 1 << 20;
+/// Pause before the system is asked once more to report a connection's events, after it has refused.
+const REGISTRATION_RETRY_DELAY: Span = Span::from_millis(20);
 
 /// A connection of the reactor.
 pub(super) struct ManagedConnection<S> {
     pub(super) stream: BufferedStream,
     pub(super) connection: Box<dyn Connection<S>>,
-    /// Since when the input that is being read may have waited, if that is longer than the last poll tells.
+    /// Since when the input that is being read may have waited, if that is longer than the last poll says.
     pub(super) input_since: Option<Time>,
     /// A client is at the other end.
     pub(super) is_client: bool,
@@ -33,7 +36,7 @@
     /// Why the connection is to be closed, where neither its peer nor itself has ended it.
     close_cause: Option<CloseCause>,
     /// When the system is to be asked once more to report the stream's events, after it has refused.
-    pub(super) registers_at: Option<Time>,
+    registers_at: Option<Time>,
 }
 
 impl<S: SharedState + 'static> ManagedConnection<S> {
@@ -97,7 +100,7 @@
         }));
         flow.unwrap_or_else(|_| {
             context.shared.panic_caught();
-            error!("panic connection={} closed", self.stream.id());
+            error!(connection = self.stream.id().0, "connection closed after a panic");
             self.end_after_panic(context)
         })
     }
@@ -140,8 +143,8 @@
 
     /// Acts on a timer: first on what has come meanwhile, which the last poll may have missed, and then on the time.
     ///
-    /// Whoever ends a connection for the time that has passed must not overlook the request, the answer or the
-    /// established connect that lies there.
+    /// Whoever ends a connection for the time that has passed must not overlook a request, a response or the
+    /// completed connect that waits there.
     pub(super) fn handle_timer(&mut self, context: &mut Context<S>) -> ConnectionFlow {
         let flow = self.handle_event(true, context);
         if flow != ConnectionFlow::Continue {
@@ -212,7 +215,7 @@
         self.stream.input.clear();
     }
 
-    /// Takes note of how a callback ended; whether the connection is to be closed now.
+    /// Applies what a callback wants of the connection; true if it is to be closed now.
     ///
     /// If a stream is closed while it has unread input, the system drops what the peer has not read yet. So a
     /// connection that finishes shuts its sending half down only, and waits for the peer's end or its own
@@ -228,6 +231,22 @@
         flow == ConnectionFlow::Close || self.write_shut_down && self.stream.input_ended
     }
 
+    /// Registers for the events that the stream waits for. If the system refuses, it is asked again after a pause.
+    pub(super) fn register(&mut self, registry: &Registry, context: &mut Context<S>) {
+        self.registers_at = match self.stream.register(registry) {
+            Ok(()) => None,
+            Err(error) => {
+                context.shared.registration_failed();
+                debug!(
+                    connection = self.stream.id().0,
+                    cause = error.to_string(),
+                    "registration failed"
+                );
+                Some(context.now + REGISTRATION_RETRY_DELAY)
+            }
+        };
+    }
+
     /// Notifies the connection that it is closed.
     pub(super) fn notify_closed(&mut self, context: &mut Context<S>) {
         let closed = catch_unwind(AssertUnwindSafe(|| {
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,9 +1,14 @@
 //! The reactor: waits for events of all sockets and timers, and calls the connections back.
+//!
+//! This file has the reactor's state and its other sockets; `polling` waits for events, `connections` adds, calls and
+//! closes connections, `idle_connections` closes idle ones, and `managed_connection` is what the reactor keeps of one.
 
 mod connections;
+mod idle_connections;
 mod listeners;
 mod managed_connection;
 mod pipes;
+mod polling;
 #[cfg(test)]
 mod tests;
 mod token;
@@ -15,7 +20,7 @@
 
 use super::{SharedState, Stream, SystemClock};
 use crate::collections::TimerQueue;
-use crate::model::{ConnectionId, Span, Time};
+use crate::model::{ConnectionId, Time};
 use listeners::Listeners;
 use managed_connection::ManagedConnection;
 use mio::{Events, Poll};
@@ -25,21 +30,10 @@
 use std::net::SocketAddr;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
-use std::time::Duration;
-use token::EventSource;
 use udp_sockets::UdpSockets;
 
 /// Events taken from the system at a time.
 const EVENT_CAPACITY: usize = 1024;
-/// Interruptions in a row after which a wait is given up, so that timers and requests are not kept waiting.
-const MAX_INTERRUPTIONS: u32 = 8;
-/// A poll that returns within this time has not waited.
-const IMMEDIATE: Span = Span::from_millis(1);
-/// A poll that returns this much later than it should was not let run.
-const OVERSLEPT: Span = Span::from_millis(10);
-/// Added to the wait for a timer, so that the system, which rounds, doesn't end it a little early again and
-/// again.
-const TIMER_ROUNDING: Span = Span(50_000);
 
 /// An event that the reactor leaves to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,13 +46,6 @@
     DatagramWaiting(UdpSocketId),
 }
 
-/// What the system has reported of a source.
-struct ReadySource {
-    source: EventSource,
-    /// There is input, an end or an error to read.
-    readable: bool,
-}
-
 /// Waits for events of all sockets and timers, and calls the connections back. One thread does all of it.
 ///
 /// It owns the state `S` that its connections share, and lends it to each callback.
@@ -203,95 +190,4 @@
     pub fn connect_unix(&self, path: &Path) -> io::Result<Stream> {
         Stream::connect_unix(path)
     }
-
-    /// Whether the last [`Reactor::poll`] found no event: no socket has input that was not looked at.
-    pub fn last_poll_was_empty(&self) -> bool {
-        self.last_poll_was_empty
-    }
-
-    /// Waits until something happens or `until` comes, calls connections back, and returns the other events.
-    ///
-    /// # Errors
-    ///
-    /// The system's error where it can't be polled any more.
-    pub fn poll(&mut self, until: Option<Time>) -> io::Result<Vec<ReactorEvent>> {
-        self.last_poll_was_empty = false;
-        let was_polled = self.wait(until)?;
-        let ready = self.ready_sources();
-        self.last_poll_was_empty = was_polled && ready.is_empty();
-        let events = ready
-            .into_iter()
-            .filter_map(|ready| self.dispatch(ready))
-            .collect();
-        self.fire_timers();
-        Ok(events)
-    }
-
-    /// Waits for events, the first timer or `until`; false if the wait was interrupted again and again, so that nothing
-    /// is known of the sockets.
-    fn wait(&mut self, until: Option<Time>) -> io::Result<bool> {
-        let wake_up = self.timers.next_expiry().into_iter().chain(until).min();
-        let mut timeout = wake_up.map(|time| {
-            let remaining = time - self.clock.now();
-            Duration::from_nanos(remaining.0 + TIMER_ROUNDING.0)
-        });
-        // A signal interrupts the wait and hides what the sockets have: that is asked for once more, as it
-        // goes before the timers and the signal itself.
-        let entered_at = self.clock.now();
-        let asked_for = timeout;
-        for _ in 0..MAX_INTERRUPTIONS {
-            match self.poll.poll(&mut self.events, timeout) {
-                Ok(()) => {
-                    self.note_poll(entered_at, asked_for);
-                    return Ok(true);
-                }
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => timeout = Some(Duration::ZERO),
-                Err(error) => return Err(error),
-            }
-        }
-        Ok(false)
-    }
-
-    /// Notes since when the input that a poll has reported may have been there.
-    fn note_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
-        let returned_at = self.clock.now();
-        let waited = returned_at - entered_at;
-        let overslept = asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + OVERSLEPT);
-        self.input_since = if waited < IMMEDIATE {
-            // It was there already, and came while the process was busy with the input before.
-            self.polled_at
-        } else if overslept {
-            entered_at
-        } else {
-            returned_at
-        };
-        self.polled_at = returned_at;
-    }
-
-    fn ready_sources(&self) -> Vec<ReadySource> {
-        self.events
-            .iter()
-            .map(|event| ReadySource {
-                source: EventSource::from_token(event.token()),
-                readable: event.is_readable() || event.is_read_closed() || event.is_error(),
-            })
-            .collect()
-    }
-
-    fn dispatch(&mut self, ready: ReadySource) -> Option<ReactorEvent> {
-        match ready.source {
-            EventSource::Listener(listener) => Some(ReactorEvent::ClientWaiting(listener)),
-            EventSource::UdpSocket(socket) => Some(ReactorEvent::DatagramWaiting(socket)),
-            EventSource::Pipe(pipe) => {
-                self.pipes.drain(pipe);
-                Some(ReactorEvent::PipeReadable(pipe))
-            }
-            EventSource::Connection(id) => {
-                self.call(id, |connection, context| {
-                    connection.handle_event(ready.readable, context)
-                });
-                None
-            }
-        }
-    }
 }
--- /dev/null
+++ b/src/net/reactor/polling.rs
@@ -0,0 +1,130 @@
+//! The reactor's turn: waits for events and timers, and hands each to its connection or to the caller.
+
+use super::managed_connection::ManagedConnection;
+use super::token::EventSource;
+use super::{Reactor, ReactorEvent};
+use crate::model::{Span, Time};
+use crate::net::SharedState;
+use std::io;
+use std::time::Duration;
+
+/// Interruptions in a row after which a wait ends, so that timers and requests are not delayed further.
+const MAX_INTERRUPTIONS: u32 = 8;
+/// A poll that returns within this time has not waited.
+const IMMEDIATE: Span = Span::from_millis(1);
+/// A poll that returns this much later than its timeout was not scheduled by the system.
+const OVERSLEPT: Span = Span::from_millis(10);
+/// Added to the wait for a timer, so that the system, which rounds, doesn't end it a little early again and
+/// again.
+const TIMER_ROUNDING: Span = Span(50_000);
+
+/// What the system has reported of a source.
+struct ReadySource {
+    source: EventSource,
+    /// There is input, an end or an error to read.
+    readable: bool,
+}
+
+impl<S: SharedState + 'static> Reactor<S> {
+    /// Whether the last [`Reactor::poll`] found no event: no socket has input that was not looked at.
+    pub fn last_poll_was_empty(&self) -> bool {
+        self.last_poll_was_empty
+    }
+
+    /// Waits until something happens or `until` comes, calls connections back, and returns the other events.
+    ///
+    /// # Errors
+    ///
+    /// The system's error where it can't be polled any more.
+    pub fn poll(&mut self, until: Option<Time>) -> io::Result<Vec<ReactorEvent>> {
+        self.last_poll_was_empty = false;
+        let was_polled = self.wait(until)?;
+        let ready = self.ready_sources();
+        self.last_poll_was_empty = was_polled && ready.is_empty();
+        let events = ready
+            .into_iter()
+            .filter_map(|ready| self.dispatch(ready))
+            .collect();
+        self.fire_timers();
+        Ok(events)
+    }
+
+    /// Waits for events, the first timer or `until`; false if the wait was interrupted again and again, so that nothing
+    /// is known of the sockets.
+    fn wait(&mut self, until: Option<Time>) -> io::Result<bool> {
+        let wake_up = self.timers.next_expiry().into_iter().chain(until).min();
+        let mut timeout = wake_up.map(|time| {
+            let remaining = time - self.clock.now();
+            Duration::from_nanos(remaining.0 + TIMER_ROUNDING.0)
+        });
+        // A signal interrupts the wait and hides what the sockets have: that is asked for once more, as it
+        // goes before the timers and the signal itself.
+        let entered_at = self.clock.now();
+        let asked_for = timeout;
+        for _ in 0..MAX_INTERRUPTIONS {
+            match self.poll.poll(&mut self.events, timeout) {
+                Ok(()) => {
+                    self.note_poll(entered_at, asked_for);
+                    return Ok(true);
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => timeout = Some(Duration::ZERO),
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(false)
+    }
+
+    /// Notes since when the input that a poll has reported may have been there.
+    fn note_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
+        let returned_at = self.clock.now();
+        let waited = returned_at - entered_at;
+        let overslept = asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + OVERSLEPT);
+        self.input_since = if waited < IMMEDIATE {
+            // It was there already, and came while the process was busy with the input before.
+            self.polled_at
+        } else if overslept {
+            entered_at
+        } else {
+            returned_at
+        };
+        self.polled_at = returned_at;
+    }
+
+    fn ready_sources(&self) -> Vec<ReadySource> {
+        self.events
+            .iter()
+            .map(|event| ReadySource {
+                source: EventSource::from_token(event.token()),
+                readable: event.is_readable() || event.is_read_closed() || event.is_error(),
+            })
+            .collect()
+    }
+
+    fn dispatch(&mut self, ready: ReadySource) -> Option<ReactorEvent> {
+        match ready.source {
+            EventSource::Listener(listener) => Some(ReactorEvent::ClientWaiting(listener)),
+            EventSource::UdpSocket(socket) => Some(ReactorEvent::DatagramWaiting(socket)),
+            EventSource::Pipe(pipe) => {
+                self.pipes.drain(pipe);
+                Some(ReactorEvent::PipeReadable(pipe))
+            }
+            EventSource::Connection(id) => {
+                self.call(id, |connection, context| {
+                    connection.handle_event(ready.readable, context)
+                });
+                None
+            }
+        }
+    }
+
+    /// Calls the connections whose timers have expired.
+    pub(super) fn fire_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(id) = self.timers.pop_expired(now) {
+            if let Some(managed) = self.connections.get_mut(&id) {
+                managed.timer = None;
+            }
+            self.call(id, ManagedConnection::handle_timer);
+        }
+    }
+}
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,4 +1,8 @@
+//! The reactor with connections that echo, close or panic.
+
+use super::token::EventSource;
 use super::*;
+use crate::model::Span;
 use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
 use std::io::{Read, Write};
 
@@ -140,7 +144,7 @@
     assert_eq!(reactor.connection_count(), 1, "its timer closed it");
     let (_, mut idle) = add(ClosingEcho { closes_at }, &mut reactor, limits);
     idle.write_all(b"y").unwrap();
-    assert!(!reactor.close_longest_idle(), "closed to make room");
+    assert!(!reactor.close_longest_idle(), "closed to free its descriptor");
     for (mut far, expected) in [(timed, b'x'), (idle, b'y')] {
         let mut byte = [0];
         far.read_exact(&mut byte).unwrap();
@@ -148,7 +152,7 @@
     }
 }
 
-/// A peer that reads nothing must not hold memory without bound.
+/// A peer that reads nothing must not use memory without bound.
 #[test]
 fn output_beyond_the_limit_closes_the_connection_that_adds_to_it() {
     let mut reactor = reactor();
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -26,7 +26,7 @@
         UnixStream::connect(path).map(Stream::Unix)
     }
 
-    /// Messages are small and answers urgent: Nagle's algorithm is switched off, where the system allows it.
+    /// Messages are small and urgent: Nagle's algorithm is switched off, where the system allows it.
     pub(super) fn from_tcp(stream: TcpStream) -> Stream {
         let _ = stream.set_nodelay(true);
         Stream::Tcp(stream)
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells the peer that nothing more is written.
+    /// Shuts down the sending half, so that the peer sees its end.
     pub(super) fn shutdown_write(&self) {
         let _ = match self {
             Stream::Tcp(stream) => stream.shutdown(Shutdown::Write),
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -44,7 +44,7 @@
     late.send_readiness_check();
     scheduler.wait_for_log("accept failed");
     drop(watch);
-    scheduler.wait_for_log("bus connection failed");
+    scheduler.wait_for_log("watch connection failed");
     scheduler.limit_descriptors(256);
     late.expect_ready_response();
     let watch = discovery.accept();
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -76,7 +76,7 @@
     watch.send(&keep_alive_frame());
     let replacement = discovery.accept();
     assert_eq!(replacement.offset, 1);
-    scheduler.wait_for_log("bus silent");
+    scheduler.wait_for_log("watch connection silent");
 }
 
 /// A machine is gone and a new one has its address, but no event has reported the old one gone. Requests sent to the
