--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -10,7 +10,7 @@
 use super::limits::Limits;
 use super::write_queue::WriteQueue;
 use crate::model::Time;
-use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow};
+use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, PartialMessage};
 use crate::runtime::{Context, RuntimeState};
 use crate::scheduler::{ExchangeError, FailureCause, WriteProgress};
 use health_check::HealthCheckState;
@@ -134,8 +134,8 @@
         if socket.input.len() > MAX_LINE_BYTES || socket.input_ended {
             return ConnectionFlow::Close;
         }
-        self.phase
-            .update_line_deadline(consumed > 0, socket.input.is_empty(), context.now);
+        let line = PartialMessage::after_read(!socket.input.is_empty(), consumed > 0);
+        self.phase.track_line(line, context.now);
         self.flush_commands(socket, context)
     }
 
--- a/src/backend/connection/phase.rs
+++ b/src/backend/connection/phase.rs
@@ -1,6 +1,7 @@
 //! The phase of a connection to a worker, and until when it may stay in it.
 
 use crate::model::{Span, Time};
+use crate::net::{MessageDeadline, PartialMessage};
 
 /// Time within which a line of a worker has to arrive completely. One that stops short would swallow the start of the
 /// next response.
@@ -18,8 +19,8 @@
     Established {
         /// When the last command was taken or the last response came.
         last_activity: Time,
-        /// Until when the rest of an incomplete line has to arrive; none while the input holds no part of a line.
-        line_deadline: Option<Time>,
+        /// Until when the rest of an incomplete line has to arrive.
+        line_deadline: MessageDeadline,
     },
 }
 
@@ -28,7 +29,7 @@
     pub(in crate::backend) fn established(now: Time) -> Phase {
         Phase::Established {
             last_activity: now,
-            line_deadline: None,
+            line_deadline: MessageDeadline::new(LINE_TIMEOUT),
         }
     }
 
@@ -52,20 +53,10 @@
         }
     }
 
-    /// Sets the deadline of the line of which the input holds the start, after input has come.
-    pub(in crate::backend) fn update_line_deadline(
-        &mut self,
-        lines_received: bool,
-        input_is_empty: bool,
-        now: Time,
-    ) {
-        let Phase::Established { line_deadline, .. } = self else {
-            return;
-        };
-        if input_is_empty {
-            *line_deadline = None;
-        } else if lines_received || line_deadline.is_none() {
-            *line_deadline = Some(now + LINE_TIMEOUT);
+    /// Follows a read at `now`, which may have left the start of a line in the input.
+    pub(in crate::backend) fn track_line(&mut self, line: PartialMessage, now: Time) {
+        if let Phase::Established { line_deadline, .. } = self {
+            line_deadline.track(line, now);
         }
     }
 
@@ -73,7 +64,7 @@
     pub(in crate::backend) fn deadline(&self) -> Option<Time> {
         match self {
             Phase::Connecting { deadline } => Some(*deadline),
-            Phase::Established { line_deadline, .. } => *line_deadline,
+            Phase::Established { line_deadline, .. } => line_deadline.get(),
         }
     }
 }
--- a/src/backend/tests/connection.rs
+++ b/src/backend/tests/connection.rs
@@ -3,6 +3,7 @@
 use crate::backend::connection::health_check::HealthCheckState;
 use crate::backend::connection::phase::Phase;
 use crate::model::{Span, Time};
+use crate::net::PartialMessage;
 use crate::scheduler::HealthCheckId;
 
 const START: Time = Time(1_000);
@@ -20,7 +21,7 @@
 fn a_connection_that_is_being_established_has_its_own_deadline_alone() {
     let mut phase = Phase::Connecting { deadline: START };
     phase.record_activity(Time(1));
-    phase.update_line_deadline(true, false, Time(1));
+    phase.track_line(PartialMessage::Begun, Time(1));
     assert_eq!(phase, Phase::Connecting { deadline: START });
     assert!(phase.is_connecting());
     assert_eq!((phase.deadline(), phase.last_activity()), (Some(START), None));
@@ -38,21 +39,21 @@
 #[test]
 fn the_deadline_of_a_line_runs_from_its_first_input() {
     let mut phase = Phase::established(START);
-    phase.update_line_deadline(false, false, START);
+    phase.track_line(PartialMessage::Continued, START);
     assert_eq!(phase.deadline(), Some(START + LINE_TIMEOUT));
-    phase.update_line_deadline(false, false, START + Span(1));
+    phase.track_line(PartialMessage::Continued, START + Span(1));
     assert_eq!(
         phase.deadline(),
         Some(START + LINE_TIMEOUT),
         "more of the same line"
     );
-    phase.update_line_deadline(true, false, START + Span(2));
+    phase.track_line(PartialMessage::Begun, START + Span(2));
     assert_eq!(
         phase.deadline(),
         Some(START + Span(2) + LINE_TIMEOUT),
         "the next line"
     );
-    phase.update_line_deadline(true, true, START + Span(3));
+    phase.track_line(PartialMessage::None, START + Span(3));
     assert_eq!(phase.deadline(), None, "no part of a line is left");
 }
 
