--- a/src/net/reactor/idle_connections.rs
+++ b/src/net/reactor/idle_connections.rs
@@ -6,7 +6,7 @@
 use crate::net::{CloseCause, SharedState};
 
 impl<S: SharedState + 'static> Reactor<S> {
-    /// Since when a connection has been idle; see [`Connection::idle_since`].
+    /// Since when a connection has been idle; see [`Connection::idle_since`](crate::net::Connection::idle_since).
     pub fn idle_since(&self, id: ConnectionId) -> Option<Time> {
         self.connections.get(&id)?.idle_since()
     }
