--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -2,54 +2,41 @@
 //! Those of a client that sends malformed input are cancelled and failed.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
-use crate::support::frame_client::{FrameClient, failed, request, served};
+use crate::support::frame_client::{FrameClient, failed, request};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::CommandKind;
-use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
+use crate::support::{IDEMPOTENT_CLASS, request_id};
 
 /// A cancelled request does not occupy its worker any longer.
 #[test]
 fn cancelled_request_is_cancelled_at_its_worker() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 60_000, b""));
+    let (worker, _scheduler, mut client) = deploy();
+    client.send_idempotent(1, 60_000, b"");
     assert_eq!(worker.next_command().kind(), CommandKind::Run);
     client.send_cancel(1);
-    let command = worker.next_command();
-    assert_eq!(
-        (command.kind(), command.request_id().as_str()),
-        (CommandKind::Cancel, REQUEST_ID)
-    );
+    worker.expect_command(CommandKind::Cancel, &request_id(1));
 }
 
 #[test]
 fn cancelled_request_and_closed_connection_get_no_answer() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b""));
+    let (worker, scheduler, mut client) = deploy();
+    client.send_idempotent(1, 2900, b"");
     let mut command = worker.next_command();
     client.send_cancel(1);
     client.assert_ready();
     command.succeed("");
     client.assert_ready();
     let mut closing = FrameClient::connect(&scheduler);
-    closing.send_request(1, &request(IDEMPOTENT_CLASS, "00000000000000aa", 2900, b""));
+    closing.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 2900, b""));
     worker.next_command();
     drop(closing);
     scheduler.wait_for_counter("requests_cancelled", 2);
-    assert_eq!(
-        (
-            scheduler.counter("requests_received"),
-            scheduler.counter("responses_served")
-        ),
-        (2, 0)
-    );
+    scheduler.assert_counters([("requests_received", 2), ("responses_served", 0)]);
 }
 
 /// Connects four clients that send a request each. The first cancels it, the second shuts down its half of the
@@ -77,14 +64,8 @@
     let mut remaining = disconnect_three_of_four_clients(&scheduler, 20_000);
     let mut connection = worker.accept_waiting();
     connection.serve(&request_id(3), "eA==");
-    assert_eq!(remaining.next_frame(), Some(served(1, b"x")));
-    assert_eq!(
-        (
-            scheduler.counter("attempts_written"),
-            scheduler.counter("responses_served")
-        ),
-        (1, 1)
-    );
+    remaining.expect_served(1, b"x");
+    scheduler.assert_counters([("attempts_written", 1), ("responses_served", 1)]);
 }
 
 /// The same while the requests wait in the policy, before any worker is in the endpoint list.
@@ -102,7 +83,7 @@
     let mut command = worker.next_request();
     assert_eq!(command.request_id(), request_id(3));
     command.succeed("eA==");
-    assert_eq!(remaining.next_frame(), Some(served(1, b"x")));
+    remaining.expect_served(1, b"x");
     assert_eq!(scheduler.counter("attempts_written"), 1);
 }
 
@@ -111,9 +92,7 @@
 #[test]
 fn request_is_not_retried_for_a_client_that_left_in_the_same_turn() {
     for closes in [false, true] {
-        let worker = StandInWorker::node_agent();
-        let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-        let mut client = FrameClient::connect(&scheduler);
+        let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
         let mut other = FrameClient::connect(&scheduler);
         let command = client.send_request_to(&worker, 1);
         scheduler.signal("STOP");
@@ -129,7 +108,7 @@
         let mut next = worker.next_request();
         assert_eq!(next.request_id(), request_id(2), "closes: {closes}");
         next.succeed("eA==");
-        assert_eq!(other.next_frame(), Some(served(1, b"x")));
+        other.expect_served(1, b"x");
         assert_eq!(scheduler.counter("attempts_written"), 2);
     }
 }
@@ -138,9 +117,7 @@
 /// is owed its answer before that, and is cancelled at its worker at once; no answer follows the error.
 #[test]
 fn request_is_failed_when_its_connection_ends_in_an_error() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, scheduler, mut client) = deploy();
     let mut other = FrameClient::connect(&scheduler);
     let mut command = client.send_request_to(&worker, 1);
     client.send_bytes(&[0; 4]);
@@ -148,15 +125,11 @@
     assert_eq!(client.next_frame(), Some(failed(0)));
     // The client has not closed the connection: the scheduler cancels the request by itself.
     other.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 20_000, b""));
-    let cancel = worker.next_command();
-    assert_eq!(
-        (cancel.kind(), cancel.request_id()),
-        (CommandKind::Cancel, request_id(1))
-    );
+    worker.expect_command(CommandKind::Cancel, &request_id(1));
     command.succeed("eA==");
     assert_eq!(client.next_frame(), None);
     worker.next_request().succeed("eA==");
-    assert_eq!(other.next_frame(), Some(served(1, b"x")));
+    other.expect_served(1, b"x");
     assert_eq!(scheduler.counter("responses_served"), 1);
 }
 
@@ -169,20 +142,14 @@
     let timer_scheduler = SchedulerProcess::start(&[timer_worker.address()]);
     let mut client = FrameClient::connect(&scheduler);
     let mut timer = FrameClient::connect(&timer_scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 500, b""));
+    client.send_idempotent(1, 500, b"");
     worker.next_request();
     scheduler.signal("STOP");
     // Another scheduler's rejection shows that the deadline has passed.
-    timer.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 600, b""));
+    timer.send_idempotent(1, 600, b"");
     timer.expect_rejection(1);
     client.send_cancel(1);
     scheduler.signal("CONT");
     client.assert_ready();
-    assert_eq!(
-        (
-            scheduler.counter("requests_cancelled"),
-            scheduler.counter("responses_rejected")
-        ),
-        (1, 0)
-    );
+    scheduler.assert_counters([("requests_cancelled", 1), ("responses_rejected", 0)]);
 }
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -2,11 +2,11 @@
 
 use crate::support::configuration::Configuration;
 use crate::support::discovery::StandInDiscovery;
-use crate::support::frame_client::{FrameClient, request, served};
+use crate::support::frame_client::{FrameClient, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
 use crate::support::worker::{StandInWorker, echo};
-use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
+use crate::support::{IDEMPOTENT_CLASS, request_id};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::net::TcpStream;
@@ -22,10 +22,9 @@
         .map(|_| TcpStream::connect(scheduler.address).unwrap())
         .collect();
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"x"));
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
-    let descriptors = format!("/proc/{}/fd", scheduler.process_id());
-    let descriptors = std::fs::read_dir(descriptors).unwrap().count();
+    client.send_idempotent(1, 2900, b"x");
+    client.expect_served(1, b"x");
+    let descriptors = scheduler.open_descriptors();
     assert!(descriptors <= 256, "{descriptors} descriptors");
 }
 
@@ -47,8 +46,7 @@
     scheduler.wait_for_log("watch connection failed");
     scheduler.limit_descriptors(256);
     late.expect_ready_response();
-    let watch = discovery.accept();
-    assert_eq!(watch.offset, 1);
+    let _watch = discovery.accept_from(1);
 }
 
 /// A client connects and sends its request while the system accepts nobody. Its time runs from then on: once it is accepted
@@ -62,7 +60,7 @@
     let scheduler = SchedulerProcess::start(&[worker.address()]);
     scheduler.limit_descriptors(1);
     let mut late = FrameClient::connect(&scheduler);
-    late.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, ALLOWED_MS, b""));
+    late.send_idempotent(1, ALLOWED_MS, b"");
     let sent_at = Instant::now();
     scheduler.wait_for_log("accept failed");
     thread::sleep(WAITS);
@@ -98,8 +96,7 @@
     }
     let received = scheduler.counter("requests_received") as usize;
     assert!(received >= DESCRIPTORS / 3, "{received} requests received");
-    let descriptors = format!("/proc/{}/fd", scheduler.process_id());
-    let descriptors = std::fs::read_dir(descriptors).unwrap().count();
+    let descriptors = scheduler.open_descriptors();
     assert!(descriptors <= DESCRIPTORS, "{descriptors} descriptors");
 }
 
@@ -115,7 +112,7 @@
         let mut client = FrameClient::connect(&scheduler);
         let mut commands = Vec::new();
         for n in 1..=6 {
-            client.send_request(n, &request(IDEMPOTENT_CLASS, &request_id(n), 20_000, b""));
+            client.send_idempotent(n, 20_000, b"");
             commands.push(worker.next_command());
         }
         let used: BTreeSet<usize> = commands.iter().map(|command| command.connection).collect();
--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -1,9 +1,8 @@
 //! An answer ends only the attempt that it belongs to: repeated, late and unknown answers are ignored.
 
+use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, failed, request, served};
-use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::large_fleet_settings;
-use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, WorkerStatus};
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
@@ -11,16 +10,14 @@
 /// Workers could not tell two requests with the same id apart, even if they come from different clients.
 #[test]
 fn request_with_the_id_of_an_open_one_fails() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, scheduler, mut client) = deploy();
     let mut other = FrameClient::connect(&scheduler);
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"a"));
     let mut command = worker.next_command();
     other.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"b"));
     assert_eq!(other.next_frame(), Some(failed(1)));
     command.succeed("YQ==");
-    assert_eq!(client.next_frame(), Some(served(1, b"a")));
+    client.expect_served(1, b"a");
     assert!(worker.is_idle());
     other.send_request(2, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"b"));
     worker.next_command().succeed("Yg==");
@@ -30,9 +27,7 @@
 /// The late answer to an expired request must not be taken for the answer to a newer one with the same id.
 #[test]
 fn late_answer_of_an_expired_request_is_ignored() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, _scheduler, mut client) = deploy();
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 1000, b"a"));
     let mut old = worker.next_command();
     // At its deadline it is rejected and not failed, because it is idempotent.
@@ -43,15 +38,13 @@
     assert_ne!(old.connection, new.connection);
     old.succeed("b2xk");
     new.succeed("bmV3");
-    assert_eq!(client.next_frame(), Some(served(2, b"new")));
+    client.expect_served(2, b"new");
     client.assert_ready();
 }
 
 #[test]
 fn unexpected_answers_of_a_worker_harm_no_request() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, _scheduler, mut client) = deploy();
     let unexpected = [
         json!({"verb": "200", "rid": "nobody"}),
         json!({"verb": "alive", "rid": REQUEST_ID}),
@@ -62,7 +55,7 @@
         let mut command = worker.next_command();
         command.send_line(line);
         command.succeed("eA==");
-        assert_eq!(client.next_frame(), Some(served(stream, b"x")));
+        client.expect_served(stream, b"x");
         command.succeed("eQ==");
     }
     client.assert_ready();
@@ -73,17 +66,15 @@
 #[test]
 fn repeated_answer_does_not_end_the_next_attempt() {
     for status in [WorkerStatus::AtCapacity, WorkerStatus::Error, WorkerStatus::Miss] {
-        let worker = StandInWorker::node_agent();
-        let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-        let mut client = FrameClient::connect(&scheduler);
-        client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 5_000, b""));
+        let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
+        client.send_idempotent(1, 5_000, b"");
         let mut first = worker.next_request();
         first.fail(status);
         let mut retry = worker.next_request();
-        assert_eq!(retry.request_id(), REQUEST_ID, "{status:?}");
+        assert_eq!(retry.request_id(), request_id(1), "{status:?}");
         first.fail(status);
         // A request on the same connection shows that the second answer has been read.
-        client.send_request(2, &request(IDEMPOTENT_CLASS, &request_id(2), 5_000, b""));
+        client.send_idempotent(2, 5_000, b"");
         let mut other = worker.next_request();
         assert_eq!(
             other.request_id(),
@@ -91,8 +82,8 @@
             "{status:?}: the new attempt goes on"
         );
         other.succeed("eQ==");
-        assert_eq!(client.next_frame(), Some(served(2, b"y")));
+        client.expect_served(2, b"y");
         retry.succeed("eA==");
-        assert_eq!(client.next_frame(), Some(served(1, b"x")));
+        client.expect_served(1, b"x");
     }
 }
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -4,13 +4,13 @@
 use crate::support::discovery::{
     StandInDiscovery, WorkerState, delta_event, keep_alive_frame, snapshot_event,
 };
-use crate::support::frame_client::{FrameClient, request, request_to_function, served};
+use crate::support::frame_client::{FrameClient, request_to_function};
 use crate::support::raw_worker::UnacceptingWorker;
-use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
+use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::CommandKind;
-use crate::support::{IDEMPOTENT_CLASS, refusing_address, request_id};
+use crate::support::{refusing_address, request_id};
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -24,9 +24,7 @@
 
 /// Reloads the configuration with another address of the discovery service.
 fn move_discovery(scheduler: &SchedulerProcess, address: SocketAddr) {
-    let mut config = scheduler.config.clone();
-    config["bus"] = json!(address.to_string());
-    assert_eq!(scheduler.reload(&config.to_string()), ReloadResult::Applied);
+    scheduler.apply_change(|config| config["bus"] = json!(address.to_string()));
 }
 
 #[test]
@@ -35,8 +33,7 @@
     let second = StandInWorker::node_agent();
     let discovery = StandInDiscovery::new();
     let scheduler = start_watching(default_settings(), first.address(), discovery.address());
-    let mut watch = discovery.accept();
-    assert_eq!(watch.offset, 1);
+    let mut watch = discovery.accept_from(1);
     let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
     let first_draining = delta_event(3, 1, first.address(), WorkerState::Draining);
     let events = [second_ready, first_draining].concat();
@@ -58,8 +55,8 @@
     let commands = second.serve(echo);
     let mut client = FrameClient::connect(&scheduler);
     for n in 1..20 {
-        client.send_request(n, &request(IDEMPOTENT_CLASS, &request_id(n), 2900, b"x"));
-        assert_eq!(client.next_frame(), Some(served(n, b"x")));
+        client.send_idempotent(n, 2900, b"x");
+        client.expect_served(n, b"x");
     }
     assert!(first.is_idle(), "nothing new to the draining worker");
     assert_eq!(commands.count(CommandKind::Run), 19);
@@ -92,7 +89,7 @@
         client.send_request(n, &request_to_function(n, &request_id(n), 3_000));
         let mut command = worker.next_request();
         command.succeed("eA==");
-        assert_eq!(client.next_frame(), Some(served(n, b"x")));
+        client.expect_served(n, b"x");
         command.connection
     };
     let old_connection = (1..20).map(&mut serve_request).last().unwrap();
@@ -120,10 +117,9 @@
     let listed = StandInWorker::node_agent();
     let discovery = StandInDiscovery::new();
     let scheduler = start_watching(slow_connect_settings(), omitted.address(), discovery.address());
-    let mut watch = discovery.accept();
-    assert_eq!(watch.offset, 1);
+    let mut watch = discovery.accept_from(1);
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 20_000, b""));
+    client.send_idempotent(1, 20_000, b"");
     client.assert_ready();
     let full_list = snapshot_event(2, 2, listed.address());
     watch.send(&full_list[..30]);
@@ -136,14 +132,8 @@
     let mut command = listed.next_request();
     assert_eq!(command.request_id(), request_id(1));
     command.succeed("eA==");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
-    assert_eq!(
-        (
-            scheduler.counter("attempts_written"),
-            scheduler.counter("endpoint_updates")
-        ),
-        (1, 2)
-    );
+    client.expect_served(1, b"x");
+    scheduler.assert_counters([("attempts_written", 1), ("endpoint_updates", 2)]);
     connection.assert_nothing_received();
 }
 
@@ -161,16 +151,15 @@
         let moved = StandInDiscovery::new();
         let scheduler = start_watching(default_settings(), worker.address(), old_address);
         move_discovery(&scheduler, moved.address());
-        let mut watch = moved.accept();
-        assert_eq!(watch.offset, 1);
+        let mut watch = moved.accept_from(1);
         let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
         let first_draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
         watch.send(&[second_ready, first_draining].concat());
         scheduler.wait_for_counter("endpoint_updates", 3);
         let mut client = FrameClient::connect(&scheduler);
-        client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b""));
+        client.send_idempotent(1, 3_000, b"");
         second.next_request().succeed("eA==");
-        assert_eq!(client.next_frame(), Some(served(1, b"x")));
+        client.expect_served(1, b"x");
     }
 }
 
@@ -184,15 +173,14 @@
     let scheduler = start_watching(default_settings(), worker.address(), discovery.address());
     let mut old_watch = discovery.accept();
     move_discovery(&scheduler, moved.address());
-    let mut watch = moved.accept();
-    assert_eq!(watch.offset, 1);
+    let mut watch = moved.accept_from(1);
     // The old service reports the worker gone; the new one has another event under the same number.
     old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
     watch.send(&delta_event(2, 2, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b""));
+    client.send_idempotent(1, 3_000, b"");
     worker.next_request().succeed("eA==");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
     assert_eq!(scheduler.counter("endpoint_updates"), 2);
 }
--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -1,8 +1,10 @@
 //! Requests and answers of the frame protocol.
 
-use crate::support::frame_client::{FrameClient, failed, frame, frame_type, payload, request, served};
-use crate::support::scheduler_process::SchedulerProcess;
-use crate::support::worker::{StandInWorker, echo};
+use crate::support::deployment::deploy;
+use crate::support::frame_client::{
+    FrameClient, failed, frame, frame_type, idempotent_frame, payload, request, served,
+};
+use crate::support::worker::echo;
 use crate::support::{IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
 
@@ -22,17 +24,12 @@
 
 #[test]
 fn request_is_served_with_the_workers_body_however_its_bytes_arrive() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
+    let (worker, _scheduler, mut client) = deploy();
     let commands = worker.serve(echo);
-    let mut client = FrameClient::connect(&scheduler);
     let body: Vec<u8> = (0..=255).collect();
     let bytes = [&REQUEST_WITHOUT_BODY.concat()[..], &body].concat();
-    let encoded = frame(
-        frame_type::REQUEST,
-        1,
-        &request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, &body),
-    );
+    let payload = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, &body);
+    let encoded = frame(frame_type::REQUEST, 1, &payload);
     assert_eq!(
         encoded, bytes,
         "the encoder that the tests use follows the protocol page"
@@ -40,12 +37,9 @@
     for byte in bytes {
         client.send_bytes(&[byte]);
     }
-    assert_eq!(client.next_frame(), Some(served(1, &body)));
+    client.expect_served(1, &body);
     let joined: Vec<u8> = (2..10u8)
-        .flat_map(|n| {
-            let payload = request(IDEMPOTENT_CLASS, &request_id(n.into()), 2000, &[n]);
-            frame(frame_type::REQUEST, n.into(), &payload)
-        })
+        .flat_map(|n| idempotent_frame(n.into(), 2000, &[n]))
         .collect();
     client.send_bytes(&joined);
     let mut answers: Vec<_> = (2..10).map(|_| client.next_frame().unwrap()).collect();
@@ -64,10 +58,8 @@
 
 #[test]
 fn unusable_request_fails_and_its_connection_goes_on() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
+    let (worker, _scheduler, mut client) = deploy();
     worker.serve(echo);
-    let mut client = FrameClient::connect(&scheduler);
     let bad_function = [
         ("service", IDEMPOTENT_CLASS),
         ("ref", REQUEST_ID),
@@ -84,20 +76,18 @@
         client.send_request(stream, payload);
         assert_eq!(client.next_frame(), Some(failed(stream)), "case {stream}");
     }
-    client.send_request(9, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"x"));
-    assert_eq!(client.next_frame(), Some(served(9, b"x")));
+    client.send_idempotent(9, 2000, b"x");
+    client.expect_served(9, b"x");
 }
 
 /// A request arrives in pieces shortly before its connection would be closed as idle: the connection stays open.
 #[test]
 fn connection_is_not_closed_as_idle_amid_a_request() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
+    let (worker, scheduler, mut client) = deploy();
     worker.serve(|command| echo(command).filter(|_| command.message["attrs"]["lane"] != KEYED_CLASS));
-    let mut client = FrameClient::connect(&scheduler);
     let mut timer = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b"x"));
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.send_idempotent(1, 3_000, b"x");
+    client.expect_served(1, b"x");
     // Requests that no worker answers serve as timers: they are rejected after 4.2 s, and 1.2 s later.
     let mut wait_ms = |stream: u32, milliseconds| {
         let unserved = request(KEYED_CLASS, &request_id(100 + stream), milliseconds, b"");
@@ -105,11 +95,10 @@
         timer.expect_rejection(stream);
     };
     wait_ms(1, 4_200);
-    let payload = request(IDEMPOTENT_CLASS, &request_id(2), 3_000, b"y");
-    let bytes = frame(frame_type::REQUEST, 2, &payload);
+    let bytes = idempotent_frame(2, 3_000, b"y");
     let (begin, rest) = bytes.split_at(30);
     client.send_bytes(begin);
     wait_ms(2, 1_200);
     client.send_bytes(rest);
-    assert_eq!(client.next_frame(), Some(served(2, b"y")));
+    client.expect_served(2, b"y");
 }
--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -1,48 +1,36 @@
-//! The JSON-RPC front end: messages, batches, errors, limits and its socket.
+//! The JSON-RPC frontend: messages, batches, errors, limits and its socket.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::deploy_jsonrpc;
 use crate::support::jsonrpc_client::{JsonRpcClient, operator_file, request};
 use crate::support::program::run_to_exit;
-use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::{CommandKind, WorkerStatus};
-use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID};
+use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::UnixListener;
 
-/// Starts a scheduler whose JSON-RPC front end is open.
-fn start(worker: &StandInWorker) -> SchedulerProcess {
-    Configuration::new(&[worker.address()])
-        .operator_file(operator_file)
-        .start()
-}
-
 #[test]
 fn requests_are_served_and_ids_keep_their_types() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
+    let (worker, _scheduler, mut client) = deploy_jsonrpc(default_settings());
     worker.serve(echo);
-    let mut client = JsonRpcClient::connect(&scheduler);
     let beyond_64_bits = serde_json::from_str("18446744073709551617").unwrap();
     for id in [json!("7"), json!(7), json!(-1.5), Value::Null, beyond_64_bits] {
         client.send(&request(&id, IDEMPOTENT_CLASS, REQUEST_ID, 2900, "aGk="));
         let expected = json!({"jsonrpc": "2.0", "id": id, "result": {"body": "aGk="}});
         assert_eq!(client.next_message(), expected);
     }
-    client.send_line(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
-    assert_eq!(client.next_message()["result"], json!({"ready": true}));
+    client.assert_readiness(true);
 }
 
 #[test]
 fn batch_has_one_reply_and_notifications_have_none() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
+    let (worker, _scheduler, mut client) = deploy_jsonrpc(default_settings());
     let commands = worker.serve(echo);
-    let mut client = JsonRpcClient::connect(&scheduler);
     let mut notification = request(&Value::Null, IDEMPOTENT_CLASS, REQUEST_ID, 2900, "");
     notification.as_object_mut().unwrap().remove("id");
     client.send(&notification);
@@ -69,10 +57,8 @@
 
 #[test]
 fn bad_line_gets_its_error_and_other_requests_go_on() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
+    let (worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
     worker.serve(echo);
-    let mut client = JsonRpcClient::connect(&scheduler);
     let mut other = JsonRpcClient::connect(&scheduler);
     let too_long = format!("\"{}\"", "x".repeat(300_000));
     let cases = [
@@ -90,8 +76,8 @@
         );
     }
     for client in [&mut client, &mut other] {
-        client.send(&request(&json!(1), IDEMPOTENT_CLASS, REQUEST_ID, 2900, "aGk="));
-        assert_eq!(client.next_message()["result"]["body"], "aGk=");
+        client.send_idempotent(1, 2900, "aGk=");
+        client.expect_body("aGk=");
     }
     let mut half = JsonRpcClient::connect(&scheduler);
     half.send_bytes(b"{\"jsonrpc\":\"2.0\",");
@@ -112,7 +98,7 @@
         .start();
     let mut half = JsonRpcClient::connect(&scheduler);
     half.send_bytes(b"{\"jsonrpc\":");
-    assert_eq!(half.next_message()["error"]["code"], -32700);
+    half.expect_error(-32700);
     half.expect_close();
     let _silent = [
         JsonRpcClient::connect(&scheduler),
@@ -120,18 +106,16 @@
     ];
     for _ in 0..2 {
         let mut client = JsonRpcClient::connect(&scheduler);
-        client.send(&request(&json!(1), IDEMPOTENT_CLASS, REQUEST_ID, 2900, ""));
+        client.send_idempotent(1, 2900, "");
         worker.next_command().succeed("eA==");
-        assert_eq!(client.next_message()["result"]["body"], "eA==");
+        client.expect_body("eA==");
     }
 }
 
 /// A client that does not read must neither fill the scheduler's memory nor stall once it reads again.
 #[test]
 fn unread_output_holds_input_back_until_it_is_read() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
-    let mut client = JsonRpcClient::connect(&scheduler);
+    let (_worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
     let mut write_half = client.try_clone_stream();
     let count = 40_000;
     let writer = std::thread::spawn(move || {
@@ -149,12 +133,10 @@
 
 #[test]
 fn rejections_failures_and_deadlines_have_their_error_codes() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
-    let mut client = JsonRpcClient::connect(&scheduler);
+    let (worker, _scheduler, mut client) = deploy_jsonrpc(default_settings());
     client.send(&request(&json!(1), "no-such-class", REQUEST_ID, 2900, ""));
-    assert_eq!(client.next_message()["error"]["code"], -32002);
-    client.send(&request(&json!(2), IDEMPOTENT_CLASS, REQUEST_ID, 2900, ""));
+    client.expect_error(-32002);
+    client.send_idempotent(2, 2900, "");
     for _ in 0..3 {
         worker.next_command().fail(WorkerStatus::AtCapacity);
     }
@@ -163,7 +145,7 @@
         (&error["code"], &error["data"]["cooldown_ms"]),
         (&json!(-32001), &json!(250))
     );
-    client.send(&request(&json!(3), IDEMPOTENT_CLASS, REQUEST_ID, 1000, ""));
+    client.send_idempotent(3, 1000, "");
     assert_eq!(worker.next_command().kind(), CommandKind::Run);
     let error = client.next_message()["error"].clone();
     assert_eq!(
@@ -175,30 +157,21 @@
 
 #[test]
 fn cancelled_request_and_closed_connection_leak_nothing() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = start(&worker);
-    let mut client = JsonRpcClient::connect(&scheduler);
-    client.send(&request(&json!(1), IDEMPOTENT_CLASS, REQUEST_ID, 2900, ""));
+    let (worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
+    client.send_idempotent(1, 2900, "");
     let mut command = worker.next_command();
     client.send_line(r#"{"jsonrpc":"2.0","method":"cancel","params":{"id":"1"}}"#);
     client.send_line(r#"{"jsonrpc":"2.0","method":"cancel","params":{"id":1}}"#);
-    assert_eq!(client.next_message()["error"]["code"], -32004);
+    client.expect_error(-32004);
     command.succeed("");
-    client.send(&request(
-        &json!(1),
-        IDEMPOTENT_CLASS,
-        "00000000000000aa",
-        2900,
-        "",
-    ));
+    // The id that the cancelled request had is free again.
+    client.send(&request(&json!(1), IDEMPOTENT_CLASS, &request_id(2), 2900, ""));
     worker.next_command();
     drop(client);
     scheduler.wait_for_counter("requests_cancelled", 2);
-    let counters = ["requests_received", "responses_served", "panics"].map(|name| scheduler.counter(name));
-    assert_eq!(counters, [2, 0, 0]);
+    scheduler.assert_counters([("requests_received", 2), ("responses_served", 0), ("panics", 0)]);
     let mut other = JsonRpcClient::connect(&scheduler);
-    other.send_line(r#"{"jsonrpc":"2.0","id":1,"method":"ready"}"#);
-    assert_eq!(other.next_message()["result"]["ready"], true);
+    other.assert_readiness(true);
 }
 
 #[test]
--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -1,14 +1,14 @@
 //! Workers that speak JSON-RPC on Unix sockets.
 
 use crate::support::configuration::Configuration;
-use crate::support::frame_client::{FrameClient, request as frame_request, served};
+use crate::support::frame_client::FrameClient;
 use crate::support::jsonrpc_client::{JsonRpcClient, operator_file, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, health_check_settings};
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, ReceivedCommand, WorkerStatus};
-use crate::support::{IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, WAIT_LIMIT, request_id};
+use crate::support::{IDEMPOTENCY_KEY, KEYED_CLASS, REQUEST_ID, WAIT_LIMIT, request_id};
 use serde_json::{Value, json};
 use std::path::PathBuf;
 use std::time::Instant;
@@ -33,15 +33,15 @@
     let scheduler = start(default_settings(), &[path]);
     let mut client = JsonRpcClient::connect(&scheduler);
     let mut other = JsonRpcClient::connect(&scheduler);
-    client.send(&request(&json!(1), IDEMPOTENT_CLASS, REQUEST_ID, 60_000, "YQ=="));
+    client.send_idempotent(1, 60_000, "YQ==");
     let mut command = worker.next_command();
-    other.send(&request(&json!(1), IDEMPOTENT_CLASS, REQUEST_ID, 60_000, "Yg=="));
-    assert_eq!(other.next_message()["error"]["code"], -32002);
+    other.send_idempotent(1, 60_000, "Yg==");
+    other.expect_error(-32002);
     command.send_bytes(b"[\n");
     let mut retry = worker.next_command();
-    assert_eq!(retry.request_id(), REQUEST_ID);
+    assert_eq!(retry.request_id(), request_id(1));
     retry.succeed("eA==");
-    assert_eq!(client.next_message()["result"]["body"], "eA==");
+    client.expect_body("eA==");
 }
 
 #[test]
@@ -52,20 +52,16 @@
     let scheduler = start(default_settings(), &[path]);
     let mut client = JsonRpcClient::connect(&scheduler);
     client.send(&request(&json!(1), KEYED_CLASS, REQUEST_ID, 2900, "aGk="));
-    let mut command = worker.next_command();
-    assert_eq!(
-        (command.kind(), command.request_id().as_str()),
-        (CommandKind::Run, REQUEST_ID)
-    );
+    let mut command = worker.expect_command(CommandKind::Run, REQUEST_ID);
     assert_eq!(command.message["params"]["key"], IDEMPOTENCY_KEY);
     command.fail(WorkerStatus::Error);
     worker.next_command().succeed("YQ==");
-    assert_eq!(client.next_message()["result"]["body"], "YQ==");
+    client.expect_body("YQ==");
     let mut frame_client = FrameClient::connect(&scheduler);
-    frame_client.send_request(1, &frame_request(IDEMPOTENT_CLASS, "00000000000000aa", 2900, b""));
+    frame_client.send_idempotent(1, 2900, b"");
     worker.next_command().succeed("Yg==");
-    assert_eq!(frame_client.next_frame(), Some(served(1, b"b")));
-    frame_client.send_request(2, &frame_request(IDEMPOTENT_CLASS, "00000000000000bb", 1000, b""));
+    frame_client.expect_served(1, b"b");
+    frame_client.send_idempotent(2, 1000, b"");
     worker.next_command();
     frame_client.expect_rejection(2);
     assert_eq!(worker.next_command().kind(), CommandKind::Cancel);
@@ -127,7 +123,7 @@
     let scheduler = start(health_check_settings(), &paths);
     let mut client = JsonRpcClient::connect(&scheduler);
     for n in 0..12 {
-        client.send(&request(&json!(n), IDEMPOTENT_CLASS, &request_id(n), 60_000, ""));
+        client.send_idempotent(n, 60_000, "");
     }
     // The home leaves its requests unanswered and gets a health check; the other worker gets a load order.
     let mut received = ReceivedWhileSilent::default();
@@ -137,6 +133,6 @@
         .iter_mut()
         .for_each(|command| command.succeed("eA=="));
     for _ in 0..12 {
-        assert_eq!(client.next_message()["result"]["body"], "eA==");
+        client.expect_body("eA==");
     }
 }
--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -37,7 +37,7 @@
     scheduler.signal("USR1");
     FrameClient::connect(&scheduler).assert_ready();
     scheduler.signal("TERM");
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
 }
 
 #[test]
@@ -50,7 +50,7 @@
     client.assert_ready();
     FrameClient::connect(&scheduler).assert_ready();
     scheduler.signal("TERM");
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
 }
 
 #[test]
@@ -62,5 +62,5 @@
     }
     client.assert_ready();
     scheduler.signal("TERM");
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
 }
--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -1,7 +1,7 @@
 //! Malformed, unfinished and oversized input of the frame protocol.
 
 use crate::support::configuration::Configuration;
-use crate::support::frame_client::{FrameClient, failed, frame, frame_type, request, served};
+use crate::support::frame_client::{FrameClient, failed, frame, frame_type, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID};
@@ -13,11 +13,8 @@
 
 /// An ordinary request with the body `x` on stream 1.
 fn good_request() -> Vec<u8> {
-    frame(
-        frame_type::REQUEST,
-        1,
-        &request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"x"),
-    )
+    let payload = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"x");
+    frame(frame_type::REQUEST, 1, &payload)
 }
 
 #[test]
@@ -46,7 +43,7 @@
         assert_eq!(client.frames_until_close().last(), Some(&failed(0)), "{case}");
     }
     other.send_bytes(&good);
-    assert_eq!(other.next_frame(), Some(served(1, b"x")));
+    other.expect_served(1, b"x");
     assert_eq!(scheduler.counter("panics"), 0);
 }
 
@@ -74,7 +71,7 @@
     });
     let mut client = FrameClient::connect(&scheduler);
     client.send_bytes(&good);
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
     assert!(writer.join().unwrap().is_err(), "ended before it was all read");
 }
 
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,6 +1,7 @@
 //! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::deploy_with_settings;
 use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, rejected, request, served};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
@@ -10,7 +11,7 @@
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, WorkerStatus};
-use crate::support::{IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, request_id};
+use crate::support::{IDEMPOTENT_CLASS, KEYED_CLASS, request_id};
 use serde_json::json;
 use std::path::Path;
 
@@ -29,7 +30,7 @@
     watch.send(&delta_event(2, 7, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 60_000, b""));
+    client.send_idempotent(1, 60_000, b"");
     let mut command = worker.next_command();
     let mut config = scheduler.config.clone();
     config["bus"] = json!(moved.address().to_string());
@@ -43,7 +44,7 @@
     ] {
         assert_eq!(scheduler.reload(bad), ReloadResult::Rejected);
     }
-    client.send_request(2, &request("exam-submit", "00000000000000aa", 2900, b""));
+    client.send_request(2, &request("exam-submit", &request_id(2), 2900, b""));
     assert_eq!(
         client.next_frame(),
         Some(failed(2)),
@@ -61,10 +62,10 @@
         Some(served(1, b"y")),
         "open when the file changed"
     );
-    client.send_request(3, &request("exam-submit", "00000000000000bb", 2900, b""));
+    client.send_request(3, &request("exam-submit", &request_id(3), 2900, b""));
     second.next_command().succeed("eA==");
-    assert_eq!(client.next_frame(), Some(served(3, b"x")));
-    client.send_request(4, &request(KEYED_CLASS, "00000000000000cc", 2900, b""));
+    client.expect_served(3, b"x");
+    client.send_request(4, &request(KEYED_CLASS, &request_id(4), 2900, b""));
     assert_eq!(client.next_frame(), Some(failed(4)), "the class is removed");
 }
 
@@ -84,7 +85,7 @@
     assert_eq!(scheduler.reload(&text[..text.len() / 2]), ReloadResult::Rejected);
     scheduler.write_config(&text);
     scheduler.wait_for_log("reloaded");
-    assert_eq!(moved.accept().offset, 1);
+    moved.accept_from(1);
 }
 
 /// A reload shortens the time after which workers close idle connections: connections that are already open are closed
@@ -96,26 +97,20 @@
     settings["bounds"]["idleCloseNs"] = json!(600_000_000_000u64);
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], settings);
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 3_000, b""));
+    client.send_idempotent(1, 3_000, b"");
     let mut connection = worker.accept();
-    connection.serve(REQUEST_ID, "eA==");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
-    let mut config = scheduler.config.clone();
-    config["settings"]["bounds"]["idleCloseNs"] = json!(1_000_000_000u64);
-    assert_eq!(scheduler.reload(&config.to_string()), ReloadResult::Applied);
+    connection.serve(&request_id(1), "eA==");
+    client.expect_served(1, b"x");
+    scheduler.apply_change(|config| config["settings"]["bounds"]["idleCloseNs"] = json!(1_000_000_000u64));
     connection.wait_for_close();
 }
 
 /// A lower limit on the requests in flight on one connection applies to a connection that is already open.
 #[test]
 fn open_connection_carries_no_more_requests_than_a_new_configuration_allows() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let first = client.send_request_to(&worker, 1);
-    let mut config = scheduler.config.clone();
-    config["settings"]["bounds"]["multiplex"] = json!(1);
-    assert_eq!(scheduler.reload(&config.to_string()), ReloadResult::Applied);
+    scheduler.apply_change(|config| config["settings"]["bounds"]["multiplex"] = json!(1));
     let second = client.send_request_to(&worker, 2);
     assert_ne!(first.connection, second.connection);
 }
@@ -124,19 +119,17 @@
 /// fail.
 #[test]
 fn open_requests_go_by_the_limits_of_a_new_configuration() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut first = client.send_request_to(&worker, 1);
     let second = client.send_request_to(&worker, 2);
-    let mut config = scheduler.config.clone();
-    let bounds = &mut config["settings"]["bounds"];
-    bounds["mostTries"] = json!(1);
-    bounds["mayCancel"] = json!(false);
-    bounds["retryAfter"] = json!(false);
-    config["settings"]["classes"][0]["name"] = json!("other-check");
-    config["settings"]["classes"].as_array_mut().unwrap().reverse();
-    assert_eq!(scheduler.reload(&config.to_string()), ReloadResult::Applied);
+    scheduler.apply_change(|config| {
+        let bounds = &mut config["settings"]["bounds"];
+        bounds["mostTries"] = json!(1);
+        bounds["mayCancel"] = json!(false);
+        bounds["retryAfter"] = json!(false);
+        config["settings"]["classes"][0]["name"] = json!("other-check");
+        config["settings"]["classes"].as_array_mut().unwrap().reverse();
+    });
     first.fail(WorkerStatus::AtCapacity);
     assert_eq!(
         client.next_frame(),
@@ -144,17 +137,13 @@
         "no further attempt, no retry delay"
     );
     client.send_cancel(2);
-    client.send_request(3, &request(IDEMPOTENT_CLASS, &request_id(3), 3_000, b""));
+    client.send_idempotent(3, 3_000, b"");
     assert_eq!(client.next_frame(), Some(failed(3)), "the class is removed");
     client.send_request(4, &request("other-check", &request_id(4), 3_000, b""));
-    let mut next = worker.next_command();
-    assert_eq!(
-        (next.kind(), next.request_id()),
-        (CommandKind::Run, request_id(4)),
-        "no cancel before it"
-    );
+    // No cancel of request 2 comes before it.
+    let mut next = worker.expect_command(CommandKind::Run, &request_id(4));
     next.succeed("eA==");
-    assert_eq!(client.next_frame(), Some(served(4, b"x")));
+    client.expect_served(4, b"x");
     assert_eq!(second.request_id(), request_id(2));
     client.assert_ready();
 }
@@ -182,13 +171,7 @@
         .start();
     let config = scheduler.config.to_string();
     let mut client = JsonRpcClient::connect(&scheduler);
-    client.send(&jsonrpc_client::request(
-        &json!(1),
-        IDEMPOTENT_CLASS,
-        REQUEST_ID,
-        60_000,
-        "",
-    ));
+    client.send_idempotent(1, 60_000, "");
     let mut command = workers[0].next_command();
     scheduler.write_operator_file("[jsonrpc]\nsocket = 7\n");
     assert_eq!(scheduler.reload(&config), ReloadResult::Rejected);
@@ -208,16 +191,13 @@
     second.send(&jsonrpc_client::request(
         &json!(1),
         IDEMPOTENT_CLASS,
-        "00000000000000aa",
+        &request_id(2),
         2900,
         "",
     ));
     workers[1].next_command().succeed("eA==");
-    assert_eq!(second.next_message()["result"]["body"], "eA==");
+    second.expect_body("eA==");
     command.succeed("eQ==");
-    assert_eq!(
-        client.next_message()["result"]["body"],
-        "eQ==",
-        "open when the file changed"
-    );
+    // Open when the file changed.
+    client.expect_body("eQ==");
 }
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -1,17 +1,18 @@
 //! Graceful shutdown on SIGTERM: clients are notified, open and new requests are answered, and the program ends.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::{deploy, deploy_jsonrpc};
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{
-    FrameClient, ReceivedFrame, code, decode_frames, frame, frame_type, go_away, request, served,
+    FrameClient, ReceivedFrame, code, decode_frames, frame_type, go_away, idempotent_frame, request, served,
 };
-use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME, operator_file};
+use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
-use crate::support::settings::slow_connect_settings;
+use crate::support::settings::{default_settings, slow_connect_settings};
 use crate::support::worker::{StandInWorker, echo};
 use crate::support::worker_command::ReceivedCommand;
-use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, refusing_address, request_id};
+use crate::support::{IDEMPOTENT_CLASS, refusing_address, request_id};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::io::{ErrorKind, Read, Write};
@@ -21,58 +22,45 @@
 
 #[test]
 fn requests_that_come_after_sigterm_are_answered() {
-    let worker = StandInWorker::node_agent();
-    let mut scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, mut scheduler, mut client) = deploy();
     client.assert_ready();
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b""));
+    client.send_idempotent(1, 2900, b"");
     let mut command = worker.next_command();
     scheduler.signal("TERM");
     assert_eq!(client.next_frame(), Some(go_away()));
     client.assert_not_ready();
     let mut late = FrameClient::connect(&scheduler);
-    late.send_request(1, &request(IDEMPOTENT_CLASS, "00000000000000aa", 2900, b""));
+    late.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 2900, b""));
     worker.next_command().succeed("eA==");
-    assert_eq!(late.next_frame(), Some(served(1, b"x")));
+    late.expect_served(1, b"x");
     command.succeed("eQ==");
-    assert_eq!(client.next_frame(), Some(served(1, b"y")));
-    assert!(scheduler.wait_for_exit().success());
+    client.expect_served(1, b"y");
+    scheduler.expect_orderly_exit();
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
 /// A planned restart: the scheduler reports that it is not ready, but still answers open and new requests.
 #[test]
 fn jsonrpc_requests_are_answered_after_sigterm_too() {
-    let worker = StandInWorker::node_agent();
-    let mut scheduler = Configuration::new(&[worker.address()])
-        .operator_file(operator_file)
-        .start();
-    let mut client = JsonRpcClient::connect(&scheduler);
-    client.send(&jsonrpc_client::request(
-        &json!(1),
-        IDEMPOTENT_CLASS,
-        REQUEST_ID,
-        60_000,
-        "",
-    ));
+    let (worker, mut scheduler, mut client) = deploy_jsonrpc(default_settings());
+    client.send_idempotent(1, 60_000, "");
     let mut command = worker.next_command();
     scheduler.signal("TERM");
     scheduler.wait_for_log("ending");
-    client.send_line(r#"{"jsonrpc":"2.0","id":2,"method":"ready"}"#);
-    assert_eq!(client.next_message()["result"]["ready"], false);
+    client.assert_readiness(false);
     let mut late = JsonRpcClient::connect(&scheduler);
     late.send(&jsonrpc_client::request(
         &json!(1),
         IDEMPOTENT_CLASS,
-        "00000000000000aa",
+        &request_id(2),
         2900,
         "",
     ));
     worker.next_command().succeed("eA==");
-    assert_eq!(late.next_message()["result"]["body"], "eA==");
+    late.expect_body("eA==");
     command.succeed("eQ==");
-    assert_eq!(client.next_message()["result"]["body"], "eQ==");
-    assert!(scheduler.wait_for_exit().success());
+    client.expect_body("eQ==");
+    scheduler.expect_orderly_exit();
     assert!(!scheduler.folder.file(SOCKET_NAME).exists());
 }
 
@@ -91,11 +79,9 @@
 impl ShutdownWithBacklog {
     /// Builds the backlog and sends SIGTERM; returns when the time after SIGTERM itself is over.
     fn begin() -> ShutdownWithBacklog {
-        let worker = StandInWorker::node_agent();
-        let scheduler = SchedulerProcess::start(&[worker.address()]);
-        let mut reader = FrameClient::connect(&scheduler);
+        let (worker, scheduler, mut reader) = deploy();
         let mut other = FrameClient::connect(&scheduler);
-        reader.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 20_000, b"last"));
+        reader.send_idempotent(1, 20_000, b"last");
         let pending = worker.next_command();
         let unserved_id = request_id(2);
         worker.serve(move |command| echo(command).filter(|_| command.message["rid"] != unserved_id));
@@ -103,7 +89,7 @@
         scheduler.signal("TERM");
         assert_eq!(other.next_frame(), Some(go_away()));
         // Its rejection shows that the time after SIGTERM itself is over.
-        other.send_request(2, &request(IDEMPOTENT_CLASS, &request_id(2), 2_400, b""));
+        other.send_idempotent(2, 2_400, b"");
         other.expect_rejection(2);
         ShutdownWithBacklog {
             scheduler,
@@ -136,14 +122,10 @@
     other: &mut FrameClient,
 ) -> u32 {
     let body = vec![7; 16 << 10];
-    let request_frame = |stream: u32| {
-        let payload = request(IDEMPOTENT_CLASS, &request_id(stream), 20_000, &body);
-        frame(frame_type::REQUEST, stream, &payload)
-    };
     let mut last_stream = 2;
     loop {
         let requests: Vec<u8> = (last_stream + 1..=last_stream + 8)
-            .flat_map(request_frame)
+            .flat_map(|n| idempotent_frame(n, 20_000, &body))
             .collect();
         reader.send_bytes(&requests);
         last_stream += 8;
@@ -164,7 +146,7 @@
     shutdown.pending.succeed("bGFzdA==");
     let frames = shutdown.reader.frames_until_close();
     shutdown.assert_all_served(frames);
-    assert!(shutdown.scheduler.wait_for_exit().success());
+    shutdown.scheduler.expect_orderly_exit();
 }
 
 /// The same client reads all answers at once, so that the scheduler can read its waiting requests: they are answered,
@@ -184,7 +166,7 @@
     shutdown.scheduler.signal("CONT");
     stream.read_to_end(&mut bytes).expect("an orderly end");
     shutdown.assert_all_served(decode_frames(&bytes));
-    assert!(shutdown.scheduler.wait_for_exit().success());
+    shutdown.scheduler.expect_orderly_exit();
 }
 
 /// SIGTERM with a request queued for a connection that is not established and the discovery service down. Valid and
@@ -197,7 +179,7 @@
         .discovery(refusing_address(Ipv4Addr::new(127, 0, 0, 78)))
         .start();
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 20_000, b""));
+    client.send_idempotent(1, 20_000, b"");
     client.assert_ready();
     scheduler.signal("TERM");
     assert_eq!(client.next_frame(), Some(go_away()));
@@ -213,9 +195,9 @@
     let mut connection = worker.accept_waiting();
     connection.serve(&request_id(1), "eA==");
     connection.serve(&request_id(2), "eA==");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
     assert_eq!(late.next_response(), Some(served(1, b"x")));
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
@@ -238,12 +220,11 @@
         scheduler.signal("STOP");
         signals.iter().for_each(|signal| scheduler.signal(signal));
         scheduler.signal("CONT");
-        let watch = moved.accept();
-        assert_eq!(watch.offset, 1);
+        let _watch = moved.accept_from(1);
         old_watch.wait_for_close();
         assert_eq!(client.next_frame(), Some(go_away()));
         command.succeed("eA==");
-        assert_eq!(client.next_frame(), Some(served(1, b"x")));
+        client.expect_served(1, b"x");
         assert!(scheduler.wait_for_exit().success(), "{signals:?}");
     }
 }
@@ -257,18 +238,12 @@
     const KILLED_AFTER: Duration = Duration::from_millis(3_700);
     /// A request that crosses the end of its connection by less is sent again.
     const CROSSING: Duration = Duration::from_millis(50);
-    let worker = StandInWorker::node_agent();
-    let mut scheduler = SchedulerProcess::start(&[worker.address()]);
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, mut scheduler, mut client) = deploy();
     let mut output = client.stream.try_clone().unwrap();
     let sender = thread::spawn(move || {
         let mut sent = Vec::new();
         for n in 1..=REQUESTS {
-            let payload = request(IDEMPOTENT_CLASS, &request_id(n), 2_500, b"");
-            if output
-                .write_all(&frame(frame_type::REQUEST, n, &payload))
-                .is_err()
-            {
+            if output.write_all(&idempotent_frame(n, 2_500, b"")).is_err() {
                 return sent;
             }
             sent.push((n, Instant::now()));
@@ -281,7 +256,7 @@
     let began_at = Instant::now();
     let frames = client.frames_until_close();
     let ended_at = Instant::now();
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
     assert!(began_at.elapsed() < KILLED_AFTER, "{:?}", began_at.elapsed());
     let answers = frames
         .iter()
--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -57,7 +57,7 @@
     let mut scheduler = Configuration::new(&[]).start_with_stderr(address, Stdio::null());
     scheduler.wait_for_signal_handler(SIGHUP);
     scheduler.signal("TERM");
-    assert!(scheduler.wait_for_exit().success());
+    scheduler.expect_orderly_exit();
 }
 
 /// For a moment there is no descriptor for anything, not even for the pipes of the signal handlers.
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -1,5 +1,6 @@
 //! Connections to workers that are refused, reset, closed while idle, unreadable or silent, and their requests.
 
+use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
 use crate::support::raw_worker::{RawWorker, UnacceptingWorker, success_line};
 use crate::support::scheduler_process::SchedulerProcess;
@@ -52,14 +53,10 @@
     client.send_request(1, &request(KEYED_CLASS, REQUEST_ID, 60_000, b""));
     // The rendezvous order determines which of the two is the function's home.
     let (mut silent, other) = first_command(&workers);
-    let mut retry = other.next_command();
-    assert_eq!(
-        (retry.kind(), retry.request_id().as_str()),
-        (CommandKind::Run, REQUEST_ID)
-    );
+    let mut retry = other.expect_command(CommandKind::Run, REQUEST_ID);
     silent.succeed("b2xk");
     retry.succeed("bmV3");
-    assert_eq!(client.next_frame(), Some(served(1, b"new")));
+    client.expect_served(1, b"new");
     client.assert_ready();
     assert!(scheduler.counter("health_checks_failed") >= 2);
 }
@@ -76,11 +73,9 @@
         &[b'a'; 90_000],
     ];
     for bytes in unreadable {
-        let worker = StandInWorker::node_agent();
-        let scheduler = SchedulerProcess::start(&[worker.address()]);
-        let mut client = FrameClient::connect(&scheduler);
-        client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 60_000, b""));
-        client.send_request(2, &request(IDEMPOTENT_CLASS, "00000000000000aa", 60_000, b""));
+        let (worker, _scheduler, mut client) = deploy();
+        client.send_idempotent(1, 60_000, b"");
+        client.send_idempotent(2, 60_000, b"");
         let mut one = worker.next_command();
         let mut two = worker.next_command();
         assert_ne!(one.connection, two.connection);
@@ -105,43 +100,41 @@
     let worker = RawWorker::new();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
     let mut client = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b""));
+    client.send_idempotent(1, 3_000, b"");
     let mut connection = worker.accept();
     assert_eq!(connection.read_line()["rid"], request_id(1));
-    client.send_request(2, &request(IDEMPOTENT_CLASS, &request_id(2), 3_000, b""));
+    client.send_idempotent(2, 3_000, b"");
     connection.wait_for_unread_input();
     scheduler.signal("STOP");
     connection.succeed(&request_id(1), "eA==");
     // Closed with the second request unread: the system resets the connection.
     drop(connection);
     scheduler.signal("CONT");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
     // Only the other request is sent again.
     let mut connection = worker.accept();
     connection.serve(&request_id(2), "eQ==");
-    assert_eq!(client.next_frame(), Some(served(2, b"y")));
+    client.expect_served(2, b"y");
 }
 
 /// A worker resets an idle connection while a request for it comes in: the request is served, on another.
 #[test]
 fn request_that_meets_a_reset_of_an_idle_connection_is_served() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut other = FrameClient::connect(&scheduler);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(1), 3_000, b""));
+    client.send_idempotent(1, 3_000, b"");
     let mut command = worker.next_request();
     command.succeed("eA==");
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
     scheduler.signal("STOP");
-    client.send_request(2, &request(IDEMPOTENT_CLASS, &request_id(2), 3_000, b""));
+    client.send_idempotent(2, 3_000, b"");
     command.close_connection();
     other.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(3), 3_000, b""));
     scheduler.signal("CONT");
     let mut retries = [worker.next_request(), worker.next_request()];
     retries.iter_mut().for_each(|command| command.succeed("eQ=="));
-    assert_eq!(client.next_frame(), Some(served(2, b"y")));
-    assert_eq!(other.next_frame(), Some(served(1, b"y")));
+    client.expect_served(2, b"y");
+    other.expect_served(1, b"y");
     assert_eq!(
         scheduler.counter("requests_received"),
         scheduler.counter("responses_served")
@@ -152,9 +145,7 @@
 /// answers on the old one are ignored.
 #[test]
 fn unreadable_answer_moves_all_requests_of_its_connection_to_another() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
-    let mut client = FrameClient::connect(&scheduler);
+    let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut first = client.send_request_to(&worker, 1);
     let second = client.send_request_to(&worker, 2);
     assert_eq!(first.connection, second.connection);
@@ -185,7 +176,7 @@
     let mut client = FrameClient::connect(&scheduler);
     for n in 1..20 {
         client.send_request(n, &request_to_function(n, &request_id(n), 3_000));
-        assert_eq!(client.next_frame(), Some(served(n, b"x")));
+        client.expect_served(n, b"x");
     }
     assert!(
         scheduler.counter("attempts_connect_failed") > 0,
@@ -196,14 +187,12 @@
 /// For a moment the system opens no connection. The request has seconds left: it must not use up its attempts at once.
 #[test]
 fn a_request_outlasts_a_moment_in_which_no_connection_can_be_opened() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
+    let (worker, scheduler, mut client) = deploy();
     worker.serve(echo);
-    let mut client = FrameClient::connect(&scheduler);
     client.assert_ready();
     scheduler.limit_descriptors(1);
-    client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 20_000, b"x"));
+    client.send_idempotent(1, 20_000, b"x");
     scheduler.wait_for_counter("attempts_not_sent", 2);
     scheduler.limit_descriptors(256);
-    assert_eq!(client.next_frame(), Some(served(1, b"x")));
+    client.expect_served(1, b"x");
 }
--- /dev/null
+++ b/tests/support/deployment.rs
@@ -0,0 +1,34 @@
+//! What most tests start from: one stand-in worker, a scheduler that knows it, and a client of one frontend. They come
+//! as separate values, so that a test can move or drop each of them.
+
+use super::configuration::Configuration;
+use super::frame_client::FrameClient;
+use super::jsonrpc_client::{JsonRpcClient, operator_file};
+use super::scheduler_process::SchedulerProcess;
+use super::settings::default_settings;
+use super::worker::StandInWorker;
+use serde_json::Value;
+
+/// A node agent, a scheduler with the default settings, and a client of the frame protocol.
+pub(crate) fn deploy() -> (StandInWorker, SchedulerProcess, FrameClient) {
+    deploy_with_settings(default_settings())
+}
+
+/// [`deploy`] with these settings.
+pub(crate) fn deploy_with_settings(settings: Value) -> (StandInWorker, SchedulerProcess, FrameClient) {
+    let worker = StandInWorker::node_agent();
+    let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], settings);
+    let client = FrameClient::connect(&scheduler);
+    (worker, scheduler, client)
+}
+
+/// A node agent, a scheduler with these settings whose JSON-RPC frontend is open, and a client of that frontend.
+pub(crate) fn deploy_jsonrpc(settings: Value) -> (StandInWorker, SchedulerProcess, JsonRpcClient) {
+    let worker = StandInWorker::node_agent();
+    let scheduler = Configuration::new(&[worker.address()])
+        .settings(settings)
+        .operator_file(operator_file)
+        .start();
+    let client = JsonRpcClient::connect(&scheduler);
+    (worker, scheduler, client)
+}
--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -36,6 +36,14 @@
         self.listener.local_addr().unwrap()
     }
 
+    /// Waits for the next watch connection, which must start after this event.
+    #[track_caller]
+    pub(crate) fn accept_from(&self, offset: u64) -> WatchConnection {
+        let watch = self.accept();
+        assert_eq!(watch.offset, offset);
+        watch
+    }
+
     /// Waits for the next watch connection.
     pub(crate) fn accept(&self) -> WatchConnection {
         let (mut stream, _) = self.listener.accept().unwrap();
--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -104,6 +104,12 @@
     payload(&fields, body)
 }
 
+/// Encodes a frame with the test's n-th request, of the idempotent class, on the stream of the same number.
+pub(crate) fn idempotent_frame(n: u32, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
+    let payload = request(IDEMPOTENT_CLASS, &request_id(n), timeout_ms, body);
+    frame(frame_type::REQUEST, n, &payload)
+}
+
 /// Encodes the payload of a request with the body `x` to this function. Different functions have different homes among
 /// the workers.
 pub(crate) fn request_to_function(function: u32, request_id: &str, timeout_ms: u64) -> Vec<u8> {
@@ -165,9 +171,14 @@
         self.send_bytes(&frame(frame_type::REQUEST, stream, payload));
     }
 
+    /// Sends the test's n-th request, of the idempotent class, on the stream of the same number.
+    pub(crate) fn send_idempotent(&mut self, n: u32, timeout_ms: u64, body: &[u8]) {
+        self.send_bytes(&idempotent_frame(n, timeout_ms, body));
+    }
+
     /// Sends the test's n-th request on the stream of the same number, and waits until the worker has received it.
     pub(crate) fn send_request_to(&mut self, worker: &StandInWorker, n: u32) -> ReceivedCommand {
-        self.send_request(n, &request(IDEMPOTENT_CLASS, &request_id(n), 20_000, b""));
+        self.send_idempotent(n, 20_000, b"");
         let command = worker.next_request();
         assert_eq!(command.request_id(), request_id(n));
         command
@@ -198,7 +209,14 @@
         std::iter::from_fn(|| self.next_frame()).collect()
     }
 
+    /// Waits for the response 'served' with this body to a request; nothing else may come before it.
+    #[track_caller]
+    pub(crate) fn expect_served(&mut self, stream: u32, body: &[u8]) {
+        assert_eq!(self.next_frame(), Some(served(stream, body)));
+    }
+
     /// Waits for the rejection of a request.
+    #[track_caller]
     pub(crate) fn expect_rejection(&mut self, stream: u32) {
         let response = self.next_frame().expect("a response comes");
         assert_eq!((response.stream, response.code()), (stream, code::REJECTED));
--- a/tests/support/jsonrpc_client.rs
+++ b/tests/support/jsonrpc_client.rs
@@ -2,7 +2,7 @@
 
 use super::scheduler_process::SchedulerProcess;
 use super::temp_folder::TempFolder;
-use super::{FUNCTION, IDEMPOTENCY_KEY, WAIT_LIMIT};
+use super::{FUNCTION, IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, WAIT_LIMIT, request_id};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::Shutdown;
@@ -75,6 +75,38 @@
         self.send_line(&message.to_string());
     }
 
+    /// Sends the test's n-th request, of the idempotent class, with the number itself as its JSON-RPC id.
+    pub(crate) fn send_idempotent(&mut self, n: u32, timeout_ms: u64, body: &str) {
+        self.send(&request(
+            &json!(n),
+            IDEMPOTENT_CLASS,
+            &request_id(n),
+            timeout_ms,
+            body,
+        ));
+    }
+
+    /// Waits for a result with this body in base64.
+    #[track_caller]
+    pub(crate) fn expect_body(&mut self, body: &str) {
+        assert_eq!(self.next_message()["result"]["body"], body);
+    }
+
+    /// Waits for an error with this code.
+    #[track_caller]
+    pub(crate) fn expect_error(&mut self, code: i64) {
+        assert_eq!(self.next_message()["error"]["code"], code);
+    }
+
+    /// Asks whether the scheduler is ready, and asserts the response, which must be the next message.
+    #[track_caller]
+    pub(crate) fn assert_readiness(&mut self, ready: bool) {
+        const ID: &str = "readiness";
+        self.send(&json!({"jsonrpc": "2.0", "id": ID, "method": "ready"}));
+        let expected = json!({"jsonrpc": "2.0", "id": ID, "result": {"ready": ready}});
+        assert_eq!(self.next_message(), expected);
+    }
+
     /// Waits for the next message.
     pub(crate) fn next_message(&mut self) -> Value {
         let mut line = String::new();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,6 +2,7 @@
 //! for its peers (clients, workers, the discovery service), and a driver for the policy alone.
 
 pub(crate) mod configuration;
+pub(crate) mod deployment;
 pub(crate) mod discovery;
 pub(crate) mod frame_client;
 pub(crate) mod jsonrpc_client;
--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -154,6 +154,14 @@
         })
     }
 
+    /// Reloads the configuration that the program was started with, changed like this; the change must be applied.
+    #[track_caller]
+    pub(crate) fn apply_change(&self, change: impl FnOnce(&mut Value)) {
+        let mut config = self.config.clone();
+        change(&mut config);
+        assert_eq!(self.reload(&config.to_string()), ReloadResult::Applied);
+    }
+
     /// The value of a counter now, as printed after SIGUSR1.
     pub(crate) fn counter(&self, name: &str) -> u64 {
         let line = self.log.next_counters(|| self.signal("USR1"));
@@ -162,6 +170,13 @@
         value.expect("the counter is printed").parse().unwrap()
     }
 
+    /// Asserts the values of several counters.
+    #[track_caller]
+    pub(crate) fn assert_counters<const COUNT: usize>(&self, expected: [(&str, u64); COUNT]) {
+        let actual = expected.map(|(name, _)| (name, self.counter(name)));
+        assert_eq!(actual, expected);
+    }
+
     /// Waits until a counter has come to this value at least.
     pub(crate) fn wait_for_counter(&self, name: &str, minimum: u64) {
         let start = Instant::now();
@@ -180,6 +195,18 @@
         assert!(status.unwrap().success());
     }
 
+    /// How many descriptors the process has open.
+    pub(crate) fn open_descriptors(&self) -> usize {
+        let folder = format!("/proc/{}/fd", self.process_id());
+        std::fs::read_dir(folder).unwrap().count()
+    }
+
+    /// Waits for the process to end, which it must do with success.
+    #[track_caller]
+    pub(crate) fn expect_orderly_exit(&mut self) {
+        assert!(self.wait_for_exit().success());
+    }
+
     /// Waits for the process to end.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -53,6 +53,17 @@
             .expect("the worker receives a command")
     }
 
+    /// Waits for the next command, which must be of this kind and about this request.
+    #[track_caller]
+    pub(crate) fn expect_command(&self, kind: CommandKind, request_id: &str) -> ReceivedCommand {
+        let command = self.next_command();
+        assert_eq!(
+            (command.kind(), command.request_id().as_str()),
+            (kind, request_id)
+        );
+        command
+    }
+
     /// Waits for the next request; loads succeed, and commands without a response are passed over.
     pub(crate) fn next_request(&self) -> ReceivedCommand {
         loop {
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use function_scheduler::vrrp::packet::Advertisement;
-use serde_json::{Value, json};
+use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use support::configuration::Configuration;
 use support::jsonrpc_client::{JsonRpcClient, operator_file, request};
@@ -117,16 +117,11 @@
     client.send(&request(&json!(id), IDEMPOTENT_CLASS, REQUEST_ID, ALLOWED_MS, ""));
 }
 
-/// The error code of the next response.
-fn next_error_code(client: &mut JsonRpcClient) -> Value {
-    client.next_message()["error"]["code"].clone()
-}
-
 /// Has a request served by this worker.
 fn expect_served(client: &mut JsonRpcClient, worker: &StandInWorker, id: u32) {
     send_request(client, id);
     worker.next_command().succeed("eQ==");
-    assert_eq!(client.next_message()["result"]["body"], "eQ==");
+    client.expect_body("eQ==");
 }
 
 /// An address of this loopback host with a free port. Each scheduler has to know its peer's port before it
@@ -155,7 +150,7 @@
     scheduler.wait_for_counter("vrrp_advertisements_dropped", 3);
     assert!(!scheduler.wait_for_log("vrrp").contains(BECAME_BACKUP));
     command.succeed("eA==");
-    assert_eq!(client.next_message()["result"]["body"], "eA==");
+    client.expect_body("eA==");
     expect_served(&mut client, &worker, 2);
 }
 
@@ -173,7 +168,7 @@
     peer.advertise(address, HIGHER_PRIORITY, LONG_INTERVAL);
     scheduler.wait_for_log(BECAME_BACKUP);
     send_request(&mut client, 2);
-    assert_eq!(next_error_code(&mut client), REJECTED);
+    client.expect_error(REJECTED);
     command.succeed("eA==");
     assert_eq!(
         client.next_message(),
@@ -211,7 +206,7 @@
     backup.wait_for_log(BECAME_BACKUP);
     let mut client = JsonRpcClient::connect(&backup);
     send_request(&mut client, 1);
-    assert_eq!(next_error_code(&mut client), REJECTED);
+    client.expect_error(REJECTED);
     active.signal("TERM");
     active.wait_for_exit();
     let log = active.wait_for_log("ended");
