--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that cancel a request, close or half-close their connection: their requests are cancelled and get no answer.
-//! Those of a client that sends malformed input are cancelled and failed.
+//! Clients that cancel a request, close or half-close their connection: their requests are cancelled and get no
+//! response. Those of a client that sends malformed input are cancelled and failed.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::{deploy, deploy_with_settings};
@@ -114,7 +114,7 @@
 }
 
 /// A client with an open request sends malformed input: its connection ends with an error. The request was read, so it
-/// is owed its answer before that, and is cancelled at its worker at once; no answer follows the error.
+/// is owed its response before that, and is cancelled at its worker at once; no response follows the error.
 #[test]
 fn request_is_failed_when_its_connection_ends_in_an_error() {
     let (worker, scheduler, mut client) = deploy();
@@ -133,7 +133,7 @@
     assert_eq!(scheduler.counter("responses_served"), 1);
 }
 
-/// A request's deadline passes and its client cancels in the same turn of the event loop: there is no answer.
+/// A request's deadline passes and its client cancels in the same turn of the event loop: there is no response.
 #[test]
 fn cancel_in_the_turn_of_the_deadline_gets_no_answer() {
     let worker = StandInWorker::node_agent();
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -1,7 +1,7 @@
 //! Limits on descriptors, and on the number of connections to a worker.
 
 use crate::support::configuration::Configuration;
-use crate::support::discovery::StandInDiscovery;
+use crate::support::deployment::deploy_watching;
 use crate::support::frame_client::{FrameClient, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
@@ -32,12 +32,7 @@
 /// client is accepted once a descriptor is free, and the lost watch of the discovery service is opened again.
 #[test]
 fn client_that_found_no_descriptor_is_accepted_once_there_is_one() {
-    let worker = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
-    let scheduler = Configuration::new(&[worker.address()])
-        .discovery(discovery.address())
-        .start();
-    let watch = discovery.accept();
+    let (_worker, discovery, scheduler, watch) = deploy_watching(default_settings());
     scheduler.limit_descriptors(1);
     let mut late = FrameClient::connect(&scheduler);
     late.send_readiness_check();
@@ -75,7 +70,7 @@
 }
 
 /// Each client has a request open, and the worker answers none: a third of the descriptors is the clients', and those
-/// beyond what there is are rejected. None is closed without an answer.
+/// beyond what there is are rejected. None is closed without a response.
 #[test]
 fn clients_beyond_the_descriptors_are_rejected_and_not_dropped() {
     const CLIENTS: u32 = 70;
--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -1,4 +1,4 @@
-//! An answer ends only the attempt that it belongs to: repeated, late and unknown answers are ignored.
+//! A response ends only the attempt that it belongs to: repeated, late and unknown responses are ignored.
 
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, failed, request, served};
@@ -24,7 +24,7 @@
     assert_eq!(other.next_frame(), Some(served(2, b"b")), "the id is free again");
 }
 
-/// The late answer to an expired request must not be taken for the answer to a newer one with the same id.
+/// The late response to an expired request must not be taken for the response to a newer one with the same id.
 #[test]
 fn late_answer_of_an_expired_request_is_ignored() {
     let (worker, _scheduler, mut client) = deploy();
@@ -61,8 +61,8 @@
     client.assert_ready();
 }
 
-/// A worker answers the same attempt twice, and the second answer comes when the request has been sent to it again: it
-/// does not end the new attempt.
+/// A worker answers the same attempt twice, and the second response comes when the request has been sent to it again:
+/// it does not end the new attempt.
 #[test]
 fn repeated_answer_does_not_end_the_next_attempt() {
     for status in [WorkerStatus::AtCapacity, WorkerStatus::Error, WorkerStatus::Miss] {
@@ -73,7 +73,7 @@
         let mut retry = worker.next_request();
         assert_eq!(retry.request_id(), request_id(1), "{status:?}");
         first.fail(status);
-        // A request on the same connection shows that the second answer has been read.
+        // A request on the same connection shows that the second response has been read.
         client.send_idempotent(2, 5_000, b"");
         let mut other = worker.next_request();
         assert_eq!(
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -1,6 +1,7 @@
 //! The watch of the endpoint list: resuming, silence, moves to another address, and what its events do to requests.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::deploy_watching;
 use crate::support::discovery::{
     StandInDiscovery, WorkerState, delta_event, keep_alive_frame, snapshot_event,
 };
@@ -29,11 +30,8 @@
 
 #[test]
 fn draining_worker_gets_nothing_new_and_the_watch_resumes_after_the_last_event() {
-    let first = StandInWorker::node_agent();
+    let (first, discovery, scheduler, mut watch) = deploy_watching(default_settings());
     let second = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
-    let scheduler = start_watching(default_settings(), first.address(), discovery.address());
-    let mut watch = discovery.accept_from(1);
     let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
     let first_draining = delta_event(3, 1, first.address(), WorkerState::Draining);
     let events = [second_ready, first_draining].concat();
@@ -66,10 +64,7 @@
 /// that it is alive.
 #[test]
 fn silent_watch_is_replaced() {
-    let worker = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
-    let scheduler = start_watching(default_settings(), worker.address(), discovery.address());
-    let mut watch = discovery.accept();
+    let (_worker, discovery, scheduler, mut watch) = deploy_watching(default_settings());
     watch.send(&keep_alive_frame());
     let replacement = discovery.accept();
     assert_eq!(replacement.offset, 1);
@@ -80,10 +75,7 @@
 /// old id would reach the new machine and not count against its slow start.
 #[test]
 fn new_worker_at_an_old_address_replaces_the_old_one() {
-    let worker = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
-    let scheduler = start_watching(large_fleet_settings(), worker.address(), discovery.address());
-    let mut watch = discovery.accept();
+    let (worker, _discovery, scheduler, mut watch) = deploy_watching(large_fleet_settings());
     let mut client = FrameClient::connect(&scheduler);
     let mut serve_request = |n: u32| {
         client.send_request(n, &request_to_function(n, &request_id(n), 3_000));
@@ -166,12 +158,9 @@
 /// Events of the old discovery service after the move are ignored, also if they are already in the socket buffer.
 #[test]
 fn events_of_the_old_discovery_after_the_move_are_ignored() {
-    let worker = StandInWorker::node_agent();
+    let (worker, _discovery, scheduler, mut old_watch) = deploy_watching(default_settings());
     let second = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
     let moved = StandInDiscovery::new();
-    let scheduler = start_watching(default_settings(), worker.address(), discovery.address());
-    let mut old_watch = discovery.accept();
     move_discovery(&scheduler, moved.address());
     let mut watch = moved.accept_from(1);
     // The old service reports the worker gone; the new one has another event under the same number.
--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the frame protocol.
+//! Requests and responses of the frame protocol.
 
 use crate::support::deployment::deploy;
 use crate::support::frame_client::{
@@ -42,10 +42,10 @@
         .flat_map(|n| idempotent_frame(n.into(), 2000, &[n]))
         .collect();
     client.send_bytes(&joined);
-    let mut answers: Vec<_> = (2..10).map(|_| client.next_frame().unwrap()).collect();
-    answers.sort();
+    let mut responses: Vec<_> = (2..10).map(|_| client.next_frame().unwrap()).collect();
+    responses.sort();
     assert_eq!(
-        answers,
+        responses,
         (2..10).map(|n| served(n, &[n as u8])).collect::<Vec<_>>()
     );
     let first = commands.first_message();
--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -24,7 +24,7 @@
         .start()
 }
 
-/// Duplicate ids and unreadable answers are treated as with node agents.
+/// Duplicate ids and unreadable responses are treated as with node agents.
 #[test]
 fn duplicate_id_and_unreadable_answer_harm_no_other_request() {
     let folder = TempFolder::new();
--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -1,6 +1,7 @@
 //! Malformed, unfinished and oversized input of the frame protocol.
 
 use crate::support::configuration::Configuration;
+use crate::support::deployment::deploy;
 use crate::support::frame_client::{FrameClient, failed, frame, frame_type, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::worker::{StandInWorker, echo};
@@ -19,10 +20,8 @@
 
 #[test]
 fn malformed_input_ends_its_connection_and_no_other() {
-    let worker = StandInWorker::node_agent();
-    let scheduler = SchedulerProcess::start(&[worker.address()]);
+    let (worker, scheduler, mut other) = deploy();
     worker.serve(echo);
-    let mut other = FrameClient::connect(&scheduler);
     let good = good_request();
     let to_stream_0 = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"");
     let cases: Vec<(&str, Vec<u8>)> = vec![
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,13 +1,13 @@
 //! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::deploy_with_settings;
+use crate::support::deployment::{deploy_watching, deploy_with_settings};
 use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, rejected, request, served};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
 use crate::support::raw_worker::RawWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
-use crate::support::settings::large_fleet_settings;
+use crate::support::settings::{default_settings, large_fleet_settings};
 use crate::support::temp_folder::TempFolder;
 use crate::support::worker::StandInWorker;
 use crate::support::worker_command::{CommandKind, WorkerStatus};
@@ -19,14 +19,9 @@
 /// service is watched from the last event on.
 #[test]
 fn new_configuration_is_applied_whole_or_not_at_all() {
-    let worker = StandInWorker::node_agent();
+    let (worker, _discovery, scheduler, mut watch) = deploy_watching(default_settings());
     let second = StandInWorker::node_agent();
-    let discovery = StandInDiscovery::new();
     let moved = StandInDiscovery::new();
-    let scheduler = Configuration::new(&[worker.address()])
-        .discovery(discovery.address())
-        .start();
-    let mut watch = discovery.accept();
     watch.send(&delta_event(2, 7, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
@@ -73,12 +68,8 @@
 /// the configuration is taken as soon as it is whole.
 #[test]
 fn a_configuration_that_was_half_written_is_taken_once_it_is_whole() {
-    let worker = StandInWorker::node_agent();
-    let (discovery, moved) = (StandInDiscovery::new(), StandInDiscovery::new());
-    let scheduler = Configuration::new(&[worker.address()])
-        .discovery(discovery.address())
-        .start();
-    let _watch = discovery.accept();
+    let (_worker, _discovery, scheduler, _watch) = deploy_watching(default_settings());
+    let moved = StandInDiscovery::new();
     let mut config = scheduler.config.clone();
     config["bus"] = json!(moved.address().to_string());
     let text = config.to_string();
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown on SIGTERM: clients are notified, open and new requests are answered, and the program ends.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::{deploy, deploy_jsonrpc};
+use crate::support::deployment::{deploy, deploy_jsonrpc, deploy_watching};
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{
     FrameClient, ReceivedFrame, code, decode_frames, frame_type, go_away, idempotent_frame, request, served,
@@ -10,7 +10,7 @@
 use crate::support::raw_worker::UnacceptingWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
 use crate::support::settings::{default_settings, slow_connect_settings};
-use crate::support::worker::{StandInWorker, echo};
+use crate::support::worker::echo;
 use crate::support::worker_command::ReceivedCommand;
 use crate::support::{IDEMPOTENT_CLASS, refusing_address, request_id};
 use serde_json::json;
@@ -64,7 +64,7 @@
     assert!(!scheduler.folder.file(SOCKET_NAME).exists());
 }
 
-/// A scheduler that shuts down while one client has not read its answers.
+/// A scheduler that shuts down while one client has not read its responses.
 struct ShutdownWithBacklog {
     scheduler: SchedulerProcess,
     /// Has sent requests on stream 1 and on all from 3 to the last one, and has read nothing.
@@ -107,9 +107,9 @@
         let expected = self.last_stream - 1;
         assert!(
             frames.contains(&served(1, b"last")),
-            "{count} of {expected} answers"
+            "{count} of {expected} responses"
         );
-        assert_eq!(count, expected, "one answer for each request");
+        assert_eq!(count, expected, "one response for each request");
         assert!(frames.iter().all(|frame| frame.code() == code::SERVED));
     }
 }
@@ -138,8 +138,8 @@
     }
 }
 
-/// After SIGTERM the last answer is queued for a client that has not read the answers before it: the client's time to
-/// read them counts from then and not from the signal.
+/// After SIGTERM the last response is queued for a client that has not read the responses before it: the client's time
+/// to read them counts from then and not from the signal.
 #[test]
 fn last_answer_after_sigterm_is_written_however_late_it_comes() {
     let mut shutdown = ShutdownWithBacklog::begin();
@@ -149,12 +149,12 @@
     shutdown.scheduler.expect_orderly_exit();
 }
 
-/// The same client reads all answers at once, so that the scheduler can read its waiting requests: they are answered,
+/// The same client reads all responses at once, so that the scheduler can read its waiting requests: they are answered,
 /// and not dropped with a connection that had no open request a moment ago.
 #[test]
 fn requests_that_waited_behind_unread_answers_are_answered_before_the_end() {
     let mut shutdown = ShutdownWithBacklog::begin();
-    // In one turn of its event loop the scheduler can then write all that waits and receive the last answer.
+    // In one turn of its event loop the scheduler can then write all that waits and receive the last response.
     shutdown.scheduler.signal("STOP");
     shutdown.pending.succeed("bGFzdA==");
     let stream = &mut shutdown.reader.stream;
@@ -205,13 +205,8 @@
 #[test]
 fn reload_and_shutdown_in_one_turn_both_happen() {
     for signals in [["HUP", "TERM"], ["TERM", "HUP"]] {
-        let worker = StandInWorker::node_agent();
-        let discovery = StandInDiscovery::new();
+        let (worker, _discovery, mut scheduler, mut old_watch) = deploy_watching(default_settings());
         let moved = StandInDiscovery::new();
-        let mut scheduler = Configuration::new(&[worker.address()])
-            .discovery(discovery.address())
-            .start();
-        let mut old_watch = discovery.accept();
         let mut client = FrameClient::connect(&scheduler);
         let mut command = client.send_request_to(&worker, 1);
         let mut config = scheduler.config.clone();
@@ -258,12 +253,12 @@
     let ended_at = Instant::now();
     scheduler.expect_orderly_exit();
     assert!(began_at.elapsed() < KILLED_AFTER, "{:?}", began_at.elapsed());
-    let answers = frames
+    let responses = frames
         .iter()
         .filter(|frame| frame.frame_type == frame_type::RESPONSE);
-    let answered: BTreeSet<u32> = answers.map(|frame| frame.stream).collect();
+    let answered: BTreeSet<u32> = responses.map(|frame| frame.stream).collect();
     for (n, sent_at) in sender.join().unwrap() {
         let crossed = ended_at.saturating_duration_since(sent_at) < CROSSING;
-        assert!(crossed || answered.contains(&n), "request {n} has no answer");
+        assert!(crossed || answered.contains(&n), "request {n} has no response");
     }
 }
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -85,16 +85,16 @@
         retry.succeed("eA==");
         assert_eq!(client.next_frame().unwrap().payload, vec![79, 0, b'x']);
         two.succeed("eQ==");
-        let answer = client.next_frame().unwrap();
+        let response = client.next_frame().unwrap();
         assert_eq!(
-            answer.payload,
+            response.payload,
             vec![79, 0, b'y'],
             "the other connection is not affected"
         );
     }
 }
 
-/// An answer that arrived completely counts even if a reset follows it at once.
+/// A response that arrived completely counts even if a reset follows it at once.
 #[test]
 fn answer_that_comes_with_a_reset_is_forwarded() {
     let worker = RawWorker::new();
@@ -141,8 +141,8 @@
     );
 }
 
-/// Two requests share a connection on which an unreadable answer comes: both are sent again on a new one, and further
-/// answers on the old one are ignored.
+/// Two requests share a connection on which an unreadable response comes: both are sent again on a new one, and further
+/// responses on the old one are ignored.
 #[test]
 fn unreadable_answer_moves_all_requests_of_its_connection_to_another() {
     let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
@@ -159,9 +159,9 @@
     retries.sort_by_key(ReceivedCommand::request_id);
     retries[0].succeed("eA==");
     retries[1].succeed("eQ==");
-    let mut answers = [client.next_frame().unwrap(), client.next_frame().unwrap()];
-    answers.sort();
-    assert_eq!(answers, [served(1, b"x"), served(2, b"y")]);
+    let mut responses = [client.next_frame().unwrap(), client.next_frame().unwrap()];
+    responses.sort();
+    assert_eq!(responses, [served(1, b"x"), served(2, b"y")]);
     client.assert_ready();
 }
 
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -2,6 +2,7 @@
 //! as separate values, so that a test can move or drop each of them.
 
 use super::configuration::Configuration;
+use super::discovery::{StandInDiscovery, WatchConnection};
 use super::frame_client::FrameClient;
 use super::jsonrpc_client::{JsonRpcClient, operator_file};
 use super::scheduler_process::SchedulerProcess;
@@ -22,6 +23,20 @@
     (worker, scheduler, client)
 }
 
+/// A node agent, a discovery service, a scheduler with these settings that watches it, and its first watch connection.
+pub(crate) fn deploy_watching(
+    settings: Value,
+) -> (StandInWorker, StandInDiscovery, SchedulerProcess, WatchConnection) {
+    let worker = StandInWorker::node_agent();
+    let discovery = StandInDiscovery::new();
+    let scheduler = Configuration::new(&[worker.address()])
+        .settings(settings)
+        .discovery(discovery.address())
+        .start();
+    let watch = discovery.accept_from(1);
+    (worker, discovery, scheduler, watch)
+}
+
 /// A node agent, a scheduler with these settings whose JSON-RPC frontend is open, and a client of that frontend.
 pub(crate) fn deploy_jsonrpc(settings: Value) -> (StandInWorker, SchedulerProcess, JsonRpcClient) {
     let worker = StandInWorker::node_agent();
