--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -79,13 +79,16 @@
     let scheduler = Configuration::new(&[worker.address()])
         .limits(json!({ "sockets": DESCRIPTORS }))
         .start();
-    // Each sends at once: a connection without a request may be closed to make room.
+    // A connection without a request may be closed to free its descriptor, so that each has its request when the
+    // scheduler accepts it: however late the client's thread is let run between its connect and its request.
+    scheduler.signal("STOP");
     let connect = |n| {
         let mut client = FrameClient::connect(&scheduler);
         client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(n), 2_000, b""));
         client
     };
     let mut clients: Vec<_> = (0..CLIENTS).map(connect).collect();
+    scheduler.signal("CONT");
     for client in &mut clients {
         client.expect_rejection(1);
     }
--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -19,7 +19,7 @@
     let configuration = Configuration::new(&[worker.address()]);
     worker.serve(echo);
     let mut scheduler = configuration.start_with_stderr(refusing_address(host), stderr);
-    assert!(scheduler.becomes_reachable(), "ended, or never reachable");
+    assert!(scheduler.becomes_responsive(), "ended, or never reachable");
     scheduler
 }
 
--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -45,7 +45,7 @@
     thread::sleep(PREDECESSOR_HOLDS);
     assert!(!scheduler.has_ended(), "gave up at once");
     drop(predecessor);
-    assert!(scheduler.becomes_reachable());
+    assert!(scheduler.becomes_responsive());
     FrameClient::connect(&scheduler).assert_ready();
 }
 
@@ -73,6 +73,6 @@
     thread::sleep(PREDECESSOR_HOLDS);
     assert!(!scheduler.has_ended(), "gave up at once");
     scheduler.limit_descriptors(256);
-    assert!(scheduler.becomes_reachable());
+    assert!(scheduler.becomes_responsive());
     FrameClient::connect(&scheduler).assert_ready();
 }
--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -8,8 +8,9 @@
 use super::worker_command::ReceivedCommand;
 use super::{FUNCTION, IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, WAIT_LIMIT, request_id};
 use function_scheduler::frontend::frame_codec::{encode_fields, encode_raw_frame};
-use std::io::{Read, Write};
-use std::net::{Shutdown, TcpStream};
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::time::Duration;
 
 /// Types of frames.
 pub(crate) mod frame_type {
@@ -153,6 +154,19 @@
     pub(crate) stream: TcpStream,
 }
 
+/// Whether a scheduler at this address responds to a readiness request, be it ready or not.
+pub(super) fn responds(address: SocketAddr, patience: Duration) -> bool {
+    let readiness_request = frame(frame_type::READINESS_REQUEST, READINESS_STREAM, &[0]);
+    let mut response = [0];
+    let mut exchange = || -> io::Result<()> {
+        let mut stream = TcpStream::connect(address)?;
+        stream.set_read_timeout(Some(patience))?;
+        stream.write_all(&readiness_request)?;
+        stream.read_exact(&mut response)
+    };
+    exchange().is_ok()
+}
+
 impl FrameClient {
     /// Connects to the scheduler.
     pub(crate) fn connect(scheduler: &SchedulerProcess) -> FrameClient {
