--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -48,7 +48,7 @@
         // An embedding program's own subscriber stays.
         let _ = tracing::subscriber::set_global_default(subscriber);
         panic::set_hook(Box::new(|panic| {
-            tracing::error!("panic why={:?}", panic.to_string())
+            tracing::error!(cause = ?panic.to_string(), "panic");
         }));
         Log { writer }
     }
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -146,11 +146,11 @@
     }
 
     fn print_counters(&mut self) {
+        let counters = self.reactor.shared.scheduler.counters();
         info!(
             log_lines_dropped = logging::log_lines_dropped(),
             log_lines_failed = logging::log_lines_failed(),
-            "{}",
-            self.reactor.shared.scheduler.counters()
+            "{counters}"
         );
     }
 
