--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -19,6 +19,8 @@
     "docs/configuration.md",
     OPERATIONS_PAGE,
 ];
+/// Pages that say which function, type or constant does what.
+const PAGES_WITH_CODE_NAMES: [&str; 3] = ["docs/architecture.md", "docs/promises.md", OPERATIONS_PAGE];
 /// The first folders of the paths that pages name.
 const FOLDERS: [&str; 5] = ["src/", "tests/", "crates/", "docs/", "deploy/"];
 /// Levels of the events of which the page has a row each.
@@ -260,6 +262,41 @@
     }
 }
 
+/// Whether a quoted word of a page is a name in the code: a path, a type, a constant, or a name of several words.
+fn is_code_name(word: &str) -> bool {
+    let is_name = |part: &str| {
+        part.starts_with(|c: char| c.is_ascii_alphabetic())
+            && part.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
+    };
+    let has_small_letter = word.contains(|c: char| c.is_ascii_lowercase());
+    let has_capital_letter = word.contains(|c: char| c.is_ascii_uppercase());
+    word.split("::").all(is_name)
+        && (word.contains("::") || word.contains('_') || has_small_letter && has_capital_letter)
+}
+
+/// Functions, types and constants that these pages name are those of the code.
+#[test]
+fn the_names_of_the_code_in_the_pages_exist() {
+    let files = source_files(&root().join("src"));
+    let code: Vec<String> = files.iter().map(|file| without_comments(&read(file))).collect();
+    let words = code
+        .iter()
+        .flat_map(|text| text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
+    let mut known: BTreeSet<&str> = words.collect();
+    known.extend(files.iter().filter_map(|file| file.file_stem()?.to_str()));
+    for page in PAGES_WITH_CODE_NAMES {
+        let text = read(page);
+        let names = text
+            .split('`')
+            .skip(1)
+            .step_by(2)
+            .filter(|word| is_code_name(word));
+        let parts = names.flat_map(|name| name.split("::"));
+        let missing: BTreeSet<&str> = parts.filter(|part| !known.contains(part)).collect();
+        assert!(missing.is_empty(), "{page} names {missing:?}");
+    }
+}
+
 /// A module's path in a page, such as `scheduler::timers`, is that of a file or folder in `src`.
 #[test]
 fn the_modules_on_the_architecture_page_exist() {
