--- /dev/null
+++ b/tests/documentation/names.rs
@@ -0,0 +1,133 @@
+//! Paths, modules, functions, types, constants and kinds of faults that the pages name are there.
+
+use crate::page::OPERATIONS_PAGE;
+use crate::source::{read, root, source_files, without_comments};
+use std::collections::BTreeSet;
+
+/// Pages that describe the code as it is. Pages on incidents and open points tell of the code as it was.
+const PAGES: [&str; 5] = [
+    "README.md",
+    "CONTRIBUTING.md",
+    "docs/architecture.md",
+    "docs/configuration.md",
+    OPERATIONS_PAGE,
+];
+/// Pages that say which function, type or constant does what.
+const PAGES_WITH_CODE_NAMES: [&str; 4] = [
+    "CONTRIBUTING.md",
+    "docs/architecture.md",
+    "docs/promises.md",
+    OPERATIONS_PAGE,
+];
+/// The first folders of the paths that pages name.
+const FOLDERS: [&str; 5] = ["src/", "tests/", "crates/", "docs/", "deploy/"];
+
+/// Whether a quoted word of a page is a name in the code: a path, a type, a constant, or a name of several words.
+fn is_code_name(word: &str) -> bool {
+    let is_name = |part: &str| {
+        part.starts_with(|c: char| c.is_ascii_alphabetic())
+            && part.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
+    };
+    let has_small_letter = word.contains(|c: char| c.is_ascii_lowercase());
+    let has_capital_letter = word.contains(|c: char| c.is_ascii_uppercase());
+    word.split("::").all(is_name)
+        && (word.contains("::") || word.contains('_') || has_small_letter && has_capital_letter)
+}
+
+#[test]
+fn the_paths_in_the_pages_exist() {
+    for page in PAGES {
+        let text = read(page);
+        let quotes = text.split('`').skip(1).step_by(2);
+        let is_path =
+            |quote: &&str| FOLDERS.iter().any(|folder| quote.starts_with(folder)) && !quote.contains(' ');
+        for path in quotes.filter(is_path) {
+            assert!(root().join(path).exists(), "{page} names {path}");
+        }
+    }
+}
+
+/// Functions, types and constants that these pages name are those of the code.
+#[test]
+fn the_names_of_the_code_in_the_pages_exist() {
+    let mut files = source_files(&root().join("src"));
+    files.extend(source_files(&root().join("crates")));
+    let code: Vec<String> = files.iter().map(|file| without_comments(&read(file))).collect();
+    let words = code
+        .iter()
+        .flat_map(|text| text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
+    let mut known: BTreeSet<&str> = words.collect();
+    known.extend(files.iter().filter_map(|file| file.file_stem()?.to_str()));
+    for page in PAGES_WITH_CODE_NAMES {
+        let text = read(page);
+        let names = text
+            .split('`')
+            .skip(1)
+            .step_by(2)
+            .filter(|word| is_code_name(word));
+        let parts = names.flat_map(|name| name.split("::"));
+        let missing: BTreeSet<&str> = parts.filter(|part| !known.contains(part)).collect();
+        assert!(missing.is_empty(), "{page} names {missing:?}");
+    }
+}
+
+/// A kind of fault on a command line, such as `--kinds kill,pause`, is one of the soak.
+#[test]
+fn the_kinds_of_faults_in_the_pages_exist() {
+    let text = without_comments(&read("crates/fault-soak/src/faults/kind.rs"));
+    let variants = section_between(&text, "enum FaultKind {", "}");
+    let kinds: BTreeSet<String> = variants
+        .split(',')
+        .map(|variant| kebab_case(variant.trim()))
+        .collect();
+    let mut count = 0;
+    for page in PAGES {
+        let text = read(page);
+        for rest in text.split("--kinds ").skip(1) {
+            let list = rest.split([' ', '\n', '`']).next().expect("there is one");
+            for kind in list.split(',') {
+                assert!(kinds.contains(kind), "{page} names {kind}, of {kinds:?}");
+                count += 1;
+            }
+        }
+    }
+    assert!(count > 0, "no page names a kind");
+}
+
+fn section_between<'a>(text: &'a str, begin: &str, end: &str) -> &'a str {
+    let (_, rest) = text.split_once(begin).expect("it begins");
+    rest.split_once(end).expect("it ends").0
+}
+
+fn kebab_case(name: &str) -> String {
+    let mut words = String::new();
+    for letter in name.chars() {
+        if letter.is_ascii_uppercase() && !words.is_empty() {
+            words.push('-');
+        }
+        words.push(letter.to_ascii_lowercase());
+    }
+    words
+}
+
+/// A module's path in a page, such as `scheduler::timers`, is that of a file or folder in `src`.
+#[test]
+fn the_modules_on_the_architecture_page_exist() {
+    let text = read("docs/architecture.md");
+    let mut count = 0;
+    for quote in text.split('`').skip(1).step_by(2) {
+        let is_module = quote.contains("::")
+            && quote
+                .split("::")
+                .all(|part| !part.is_empty() && part.chars().all(|c| c.is_ascii_lowercase() || c == '_'));
+        if is_module {
+            let path = root().join("src").join(quote.replace("::", "/"));
+            assert!(
+                path.is_dir() || path.with_extension("rs").is_file(),
+                "no module {quote}"
+            );
+            count += 1;
+        }
+    }
+    assert!(count > 0, "the page names no module");
+}
--- /dev/null
+++ b/tests/documentation/operations.rs
@@ -0,0 +1,98 @@
+//! The operations page lists what the code has: counters, log events, kinds of violation, signals and limits.
+
+use crate::page::{OPERATIONS_PAGE, listed, quoted, rows, section};
+use crate::source::{events, read, root, source_files, without_comments};
+use crate::support::scheduler_process::SchedulerProcess;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Levels of the events of which the page has a row each.
+const LISTED_LEVELS: [&str; 3] = ["error", "warn", "info"];
+const DEBUG_LEVEL: &str = "debug";
+/// What an engineer sees of the event whose text is the counters themselves.
+const COUNTERS_EVENT: &str = "counters";
+
+#[test]
+fn the_operations_page_lists_each_counter_and_no_other() {
+    let scheduler = SchedulerProcess::start(&[]);
+    scheduler.signal("USR1");
+    let log = scheduler.wait_for_log(COUNTERS_EVENT);
+    let line = log
+        .lines()
+        .find(|line| line.contains(COUNTERS_EVENT))
+        .expect("the counters are printed");
+    let words = line.split(' ').filter_map(|word| word.split_once('='));
+    let printed: BTreeSet<String> = words.map(|(name, _)| name.to_owned()).collect();
+    assert!(printed.len() > 1, "{line}");
+    assert_eq!(listed("## Counters"), printed);
+}
+
+#[test]
+fn the_operations_page_lists_each_log_event_from_info_upwards_with_its_level_and_no_other() {
+    let page = read(OPERATIONS_PAGE);
+    let mut on_page: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
+    for cells in rows(section(&page, "### Events")) {
+        let event = quoted(cells[0]).to_owned();
+        assert!(
+            on_page.entry(cells[1]).or_default().insert(event),
+            "{cells:?} stands twice"
+        );
+    }
+    let in_code = LISTED_LEVELS.map(|level| (level, events(level)));
+    assert_eq!(on_page, BTreeMap::from(in_code));
+}
+
+#[test]
+fn the_operations_page_lists_each_debug_event_and_no_other() {
+    assert_eq!(listed("## Follow one request"), events(DEBUG_LEVEL));
+}
+
+#[test]
+fn the_operations_page_lists_each_kind_of_violation_and_no_other() {
+    let text = read("src/scheduler/invariants.rs");
+    let kinds = text
+        .split("#[error(\"")
+        .skip(1)
+        .filter_map(|rest| rest.split('"').next());
+    let kinds: BTreeSet<String> = kinds.map(str::to_owned).collect();
+    assert_eq!(listed("### Kinds of violation"), kinds);
+}
+
+/// Only then are the events in the code those that the tests above find.
+#[test]
+fn no_event_is_logged_in_another_way() {
+    for file in source_files(&root().join("src")) {
+        let text = without_comments(&read(&file));
+        for other in ["event!(", "trace!(", "eprintln!(", "eprint!("] {
+            assert!(!text.contains(other), "{}: {other}", file.display());
+        }
+    }
+}
+
+#[test]
+fn the_operations_page_lists_each_signal_that_the_server_handles() {
+    let text = without_comments(&read("src/server/signals.rs"));
+    let words = text.split(|character: char| !character.is_ascii_alphanumeric());
+    let is_signal = |word: &&str| word.len() > 3 && word.starts_with("SIG") && *word == word.to_uppercase();
+    let handled: BTreeSet<String> = words.filter(is_signal).map(str::to_owned).collect();
+    assert!(!handled.is_empty());
+    assert_eq!(listed("## Signals"), handled);
+}
+
+/// Each limit is named by its constant, beside the file that has it and with the value that it has there.
+#[test]
+fn the_limits_on_the_operations_page_are_constants_of_the_code() {
+    let page = read(OPERATIONS_PAGE);
+    let limits = rows(section(&page, "### Fixed limits"));
+    assert!(!limits.is_empty());
+    for cells in limits {
+        let (name, file, value) = (quoted(cells[0]), quoted(cells[1]), quoted(cells[2]));
+        let text = read(file);
+        let is_definition = |line: &&str| line.contains(&format!("const {name}: "));
+        let definition = text.lines().find(is_definition);
+        let definition = definition.unwrap_or_else(|| panic!("{file} has no constant {name}"));
+        assert!(
+            definition.ends_with(&format!("= {value};")),
+            "{file}: {definition}"
+        );
+    }
+}
--- /dev/null
+++ b/tests/documentation/page.rs
@@ -0,0 +1,43 @@
+//! Reads the operations page: its sections, and the tables in them.
+
+use crate::source::read;
+use std::collections::BTreeSet;
+
+pub(crate) const OPERATIONS_PAGE: &str = "docs/operations.md";
+
+/// The part of a page under a heading, up to the next one of the same or a higher rank.
+pub(crate) fn section<'a>(page: &'a str, heading: &str) -> &'a str {
+    let begin = page.find(&format!("\n{heading}\n"));
+    let begin = begin.unwrap_or_else(|| panic!("the page has no '{heading}'")) + 1 + heading.len();
+    let rank = heading.chars().take_while(|character| *character == '#').count();
+    let rest = &page[begin..];
+    let ends = (1..=rank).filter_map(|rank| rest.find(&format!("\n{} ", "#".repeat(rank))));
+    &rest[..ends.min().unwrap_or(rest.len())]
+}
+
+/// The rows of the tables in a part of a page, without their heads: the cells of each.
+pub(crate) fn rows(section: &str) -> Vec<Vec<&str>> {
+    let lines = section.lines().filter(|line| line.starts_with("| `"));
+    lines
+        .map(|line| line.trim_matches('|').split(" | ").map(str::trim).collect())
+        .collect()
+}
+
+/// The text between the first pair of backticks.
+pub(crate) fn quoted(cell: &str) -> &str {
+    cell.split('`').nth(1).expect("a name between backticks")
+}
+
+/// The names in the first column of a section's tables, each of which stands there once.
+pub(crate) fn listed(heading: &str) -> BTreeSet<String> {
+    let page = read(OPERATIONS_PAGE);
+    let rows = rows(section(&page, heading));
+    let names: Vec<String> = rows.iter().map(|cells| quoted(cells[0]).to_owned()).collect();
+    let unique: BTreeSet<String> = names.iter().cloned().collect();
+    assert_eq!(
+        unique.len(),
+        names.len(),
+        "a name stands twice under '{heading}': {names:?}"
+    );
+    unique
+}
