--- a/tests/documentation/names.rs
+++ b/tests/documentation/names.rs
@@ -110,24 +110,37 @@
     words
 }
 
-/// A module's path in a page, such as `scheduler::timers`, is that of a file or folder in `src`.
+/// A module's path in a page, such as `scheduler::timers`, is that of a file or folder in `src`, in the text and in the
+/// drawings.
 #[test]
 fn the_modules_on_the_architecture_page_exist() {
     let text = read("docs/architecture.md");
-    let mut count = 0;
-    for quote in text.split('`').skip(1).step_by(2) {
-        let is_module = quote.contains("::")
-            && quote
-                .split("::")
-                .all(|part| !part.is_empty() && part.chars().all(|c| c.is_ascii_lowercase() || c == '_'));
-        if is_module {
-            let path = root().join("src").join(quote.replace("::", "/"));
-            assert!(
-                path.is_dir() || path.with_extension("rs").is_file(),
-                "no module {quote}"
-            );
-            count += 1;
-        }
+    let is_part = |part: &str| !part.is_empty() && part.chars().all(|c| c.is_ascii_lowercase() || c == '_');
+    let words = text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_' && c != ':');
+    let modules: Vec<&str> = words
+        .filter(|word| word.contains("::") && word.split("::").all(is_part))
+        .collect();
+    assert!(!modules.is_empty(), "the page names no module");
+    for module in modules {
+        let path = root().join("src").join(module.replace("::", "/"));
+        assert!(
+            path.is_dir() || path.with_extension("rs").is_file(),
+            "no module {module}"
+        );
+    }
+}
+
+#[test]
+fn the_readme_has_a_row_for_each_module_of_the_library() {
+    let text = read("README.md");
+    let library = read("src/lib.rs");
+    let declarations = library.lines().map(|line| line.trim_start_matches("pub "));
+    let modules: Vec<&str> = declarations
+        .filter_map(|line| line.strip_prefix("mod ")?.strip_suffix(';'))
+        .collect();
+    assert!(!modules.is_empty());
+    for module in modules {
+        let rows = [format!("`src/{module}`"), format!("`src/{module}.rs`")];
+        assert!(rows.iter().any(|row| text.contains(row)), "no row for {module}");
     }
-    assert!(count > 0, "the page names no module");
 }
