--- a/tests/documentation/operations.rs
+++ b/tests/documentation/operations.rs
@@ -1,7 +1,7 @@
 //! The operations page lists what the code has: counters, log events, kinds of violation, signals and limits.
 
-use crate::page::{OPERATIONS_PAGE, listed, quoted, rows, section};
-use crate::source::{events, read, root, source_files, without_comments};
+use crate::page::{OPERATIONS_PAGE, all_quoted, listed, quoted, rows, section};
+use crate::source::{Fields, events, read, root, source_files, without_comments};
 use crate::support::scheduler_process::SchedulerProcess;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -29,13 +29,14 @@
 #[test]
 fn the_operations_page_lists_each_log_event_from_info_upwards_with_its_level_and_no_other() {
     let page = read(OPERATIONS_PAGE);
-    let mut on_page: BTreeMap<&str, BTreeSet<String>> = BTreeMap::new();
+    let mut on_page: BTreeMap<&str, BTreeMap<String, Fields>> = BTreeMap::new();
     for cells in rows(section(&page, "### Events")) {
-        let event = quoted(cells[0]).to_owned();
-        assert!(
-            on_page.entry(cells[1]).or_default().insert(event),
-            "{cells:?} stands twice"
-        );
+        let [event, level, fields, ..] = cells[..] else {
+            panic!("{cells:?} lacks a cell");
+        };
+        let events = on_page.entry(level).or_default();
+        let earlier = events.insert(quoted(event).to_owned(), all_quoted(fields));
+        assert!(earlier.is_none(), "{event} stands twice");
     }
     let in_code = LISTED_LEVELS.map(|level| (level, events(level)));
     assert_eq!(on_page, BTreeMap::from(in_code));
@@ -43,7 +44,14 @@
 
 #[test]
 fn the_operations_page_lists_each_debug_event_and_no_other() {
-    assert_eq!(listed("## Follow one request"), events(DEBUG_LEVEL));
+    let page = read(OPERATIONS_PAGE);
+    let rows = rows(section(&page, "## Follow one request"));
+    let on_page: BTreeMap<String, Fields> = rows
+        .iter()
+        .map(|cells| (quoted(cells[0]).to_owned(), all_quoted(cells[1])))
+        .collect();
+    assert_eq!(on_page.len(), rows.len(), "an event stands twice");
+    assert_eq!(on_page, events(DEBUG_LEVEL));
 }
 
 #[test]
--- a/tests/documentation/page.rs
+++ b/tests/documentation/page.rs
@@ -28,6 +28,11 @@
     cell.split('`').nth(1).expect("a name between backticks")
 }
 
+/// The texts between backticks.
+pub(crate) fn all_quoted(cell: &str) -> BTreeSet<String> {
+    cell.split('`').skip(1).step_by(2).map(str::to_owned).collect()
+}
+
 /// The names in the first column of a section's tables, each of which stands there once.
 pub(crate) fn listed(heading: &str) -> BTreeSet<String> {
     let page = read(OPERATIONS_PAGE);
--- a/tests/documentation/source.rs
+++ b/tests/documentation/source.rs
@@ -1,6 +1,6 @@
 //! Reads the code: its files, and the calls of `tracing`'s macros in them.
 
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -36,7 +36,7 @@
 
 /// The arguments of a macro call, split at the commas that are in no bracket and no string. `text` begins behind the
 /// call's opening parenthesis.
-pub(crate) fn arguments(text: &str) -> Vec<String> {
+fn arguments(text: &str) -> Vec<String> {
     let mut arguments = vec![String::new()];
     let mut depth = 0;
     let mut is_in_string = false;
@@ -66,36 +66,58 @@
         .collect()
 }
 
-/// The message text of an event, which has no values in it: the first argument that is a string alone.
-pub(crate) fn message(arguments: &[String]) -> Option<&str> {
-    let mut literals = arguments.iter().filter_map(|argument| argument.strip_prefix('"'));
-    literals.next()?.strip_suffix('"')
+/// The names of an event's fields, over all calls that log it.
+pub(crate) type Fields = BTreeSet<String>;
+
+/// An event as a call logs it.
+struct LoggedEvent {
+    name: String,
+    fields: Fields,
+}
+
+impl LoggedEvent {
+    /// The event of a call with these arguments; none if it has no message.
+    fn of_call(arguments: &[String]) -> Option<LoggedEvent> {
+        let place = arguments.iter().position(|argument| argument.starts_with('"'))?;
+        let message = arguments[place].trim_matches('"');
+        let mut fields: Fields = arguments[..place].iter().map(|field| field_name(field)).collect();
+        let in_text = message.split(' ').filter_map(|word| word.split_once('='));
+        fields.extend(in_text.map(|(name, _)| name.to_owned()));
+        Some(LoggedEvent {
+            name: event_name(message),
+            fields,
+        })
+    }
+}
+
+/// The name of a field that is given as `name = value`, or as a variable of that name.
+fn field_name(field: &str) -> String {
+    let name = field.split('=').next().unwrap_or(field);
+    name.trim().trim_start_matches(['?', '%']).to_owned()
 }
 
 /// What names an event: its message up to the first value, or the value that it is.
-pub(crate) fn event_name(message: &str) -> String {
+fn event_name(message: &str) -> String {
     let words: Vec<&str> = message.split(' ').collect();
     let fixed = words.iter().take_while(|word| !word.contains(['{', '=']));
     words[..fixed.count().max(1)].join(" ")
 }
 
 /// The events of one level in the code, by their names.
-pub(crate) fn events(level: &str) -> BTreeSet<String> {
+pub(crate) fn events(level: &str) -> BTreeMap<String, Fields> {
     let call = format!("{level}!(");
-    let mut events = BTreeSet::new();
+    let mut events: BTreeMap<String, Fields> = BTreeMap::new();
     for file in source_files(&root().join("src")) {
         let text = without_comments(&read(&file));
         for (place, _) in text.match_indices(&call) {
-            let is_other_macro =
-                text[..place].ends_with(|character: char| character.is_alphanumeric() || character == '_');
+            let is_other_macro = text[..place].ends_with(|c: char| c.is_alphanumeric() || c == '_');
             if is_other_macro {
                 continue;
             }
             let arguments = arguments(&text[place + call.len()..]);
-            let message = message(&arguments);
-            let message =
-                message.unwrap_or_else(|| panic!("{}: {arguments:?} has no message", file.display()));
-            events.insert(event_name(message));
+            let event = LoggedEvent::of_call(&arguments);
+            let event = event.unwrap_or_else(|| panic!("{}: {arguments:?} has no message", file.display()));
+            events.entry(event.name).or_default().extend(event.fields);
         }
     }
     events
