--- a/src/scheduler/counters.rs
+++ b/src/scheduler/counters.rs
@@ -78,7 +78,8 @@
     client_connections_accepted,
     /// Connections opened to workers.
     worker_connections_opened,
-    /// Client connections closed for malformed input.
+    /// Malformed input of clients: connections of frames closed for it, and JSON-RPC lines and requests answered with an
+    /// error.
     client_connections_malformed,
     /// Log lines about clients suppressed because too many came in one second.
     log_lines_suppressed,
