--- a/tests/documentation/source.rs
+++ b/tests/documentation/source.rs
@@ -76,16 +76,16 @@
 }
 
 impl LoggedEvent {
-    /// The event of a call with these arguments; none if it has no message.
+    /// The event of a call with these arguments; none if it has no message, or one that is neither a fixed text nor a
+    /// single value.
     fn of_call(arguments: &[String]) -> Option<LoggedEvent> {
         let place = arguments.iter().position(|argument| argument.starts_with('"'))?;
         let message = arguments[place].trim_matches('"');
-        let mut fields: Fields = arguments[..place].iter().map(|field| field_name(field)).collect();
-        let in_text = message.split(' ').filter_map(|word| word.split_once('='));
-        fields.extend(in_text.map(|(name, _)| name.to_owned()));
-        Some(LoggedEvent {
-            name: event_name(message),
-            fields,
+        let is_value = message.starts_with('{') && message.find('}') == Some(message.len() - 1);
+        let is_fixed = !message.contains(['{', '=']);
+        (is_value || is_fixed).then(|| LoggedEvent {
+            name: message.to_owned(),
+            fields: arguments[..place].iter().map(|field| field_name(field)).collect(),
         })
     }
 }
@@ -96,13 +96,6 @@
     name.trim().trim_start_matches(['?', '%']).to_owned()
 }
 
-/// What names an event: its message up to the first value, or the value that it is.
-fn event_name(message: &str) -> String {
-    let words: Vec<&str> = message.split(' ').collect();
-    let fixed = words.iter().take_while(|word| !word.contains(['{', '=']));
-    words[..fixed.count().max(1)].join(" ")
-}
-
 /// The events of one level in the code, by their names.
 pub(crate) fn events(level: &str) -> BTreeMap<String, Fields> {
     let call = format!("{level}!(");
@@ -116,7 +109,8 @@
             }
             let arguments = arguments(&text[place + call.len()..]);
             let event = LoggedEvent::of_call(&arguments);
-            let event = event.unwrap_or_else(|| panic!("{}: {arguments:?} has no message", file.display()));
+            let event =
+                event.unwrap_or_else(|| panic!("{}: {arguments:?} has no fixed message", file.display()));
             events.entry(event.name).or_default().extend(event.fields);
         }
     }
