--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -16,7 +16,11 @@
         match self.check_admission(now, &request) {
             Ok(class) => self.accept(now, request, class),
             Err(denied) => {
-                debug!(ref = request.correlation_id, cause = denied.to_string(), "request denied");
+                debug!(
+                    correlation_id = request.correlation_id,
+                    cause = denied.to_string(),
+                    "request denied"
+                );
                 self.respond(request.origin, denied.response(self.default_retry_after()));
             }
         }
--- a/src/scheduler/tests/log_lines.rs
+++ b/src/scheduler/tests/log_lines.rs
@@ -34,8 +34,7 @@
         scheduler.admits_write(at_millis(1), sent.id);
     });
     let lines: Vec<&str> = log.lines().collect();
-    let request_denied =
-        "function-scheduler: request denied ref=\"0000000000000005\" cause=\"unknown request class\"";
+    let request_denied = "function-scheduler: request denied correlation_id=\"0000000000000005\" cause=\"unknown request class\"";
     assert_eq!(lines.first(), Some(&request_denied));
     let from_cancellation = [
         "function-scheduler: request cancelled request=0",
--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -1,4 +1,4 @@
-//! The same requests get the same answers and cause the same worker commands on both front ends.
+//! The same requests get the same responses and cause the same worker commands on both frontends.
 
 use crate::support::configuration::Configuration;
 use crate::support::frame_client::{self, FrameClient, ReceivedFrame, code};
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// How a worker answers a request, which it reads from the request's body.
+/// How a worker responds to a request, which it reads from the request's body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Scenario {
     Served,
@@ -68,7 +68,7 @@
 }
 
 /// Returns 160 requests. Every third is keyed. In each forty one finds the worker full and one ends in an error; in the
-/// first forty one gets no answer.
+/// first forty one gets no response.
 fn test_requests() -> Vec<TestRequest> {
     let test_request = |n: u32| {
         let scenario = match n % 40 {
@@ -104,40 +104,40 @@
     (1000..1012).map(unanswered).collect()
 }
 
-/// The final answer to a request, whichever front end gave it.
+/// The final response to a request, whichever frontend gave it.
 #[derive(Debug, PartialEq, Eq)]
-enum Answer {
+enum FinalResponse {
     Served(Vec<u8>),
     Rejected,
     Failed,
 }
 
-impl Answer {
-    fn of_frame(frame: &ReceivedFrame) -> Answer {
+impl FinalResponse {
+    fn of_frame(frame: &ReceivedFrame) -> FinalResponse {
         match frame.code() {
-            code::SERVED => Answer::Served(frame.payload[2..].to_vec()),
-            code::REJECTED => Answer::Rejected,
-            _ => Answer::Failed,
+            code::SERVED => FinalResponse::Served(frame.payload[2..].to_vec()),
+            code::REJECTED => FinalResponse::Rejected,
+            _ => FinalResponse::Failed,
         }
     }
 
-    fn of_message(message: &Value) -> Answer {
+    fn of_message(message: &Value) -> FinalResponse {
         if message["result"]["body"] == Scenario::Served.base64_body() {
-            return Answer::Served(Scenario::Served.body().to_vec());
+            return FinalResponse::Served(Scenario::Served.body().to_vec());
         }
         let error = &message["error"];
         if error["code"] == -32001 || error["data"]["outcome"] == "refused" {
-            Answer::Rejected
+            FinalResponse::Rejected
         } else {
-            Answer::Failed
+            FinalResponse::Failed
         }
     }
 }
 
-/// A client of either front end.
+/// A client of either frontend.
 trait TestClient {
     fn send_test_request(&mut self, number: u32, request: &TestRequest);
-    fn receive_answer(&mut self) -> Answer;
+    fn receive_response(&mut self) -> FinalResponse;
 }
 
 impl TestClient for FrameClient {
@@ -147,8 +147,8 @@
         self.send_request(number, &payload);
     }
 
-    fn receive_answer(&mut self) -> Answer {
-        Answer::of_frame(&self.next_frame().expect("an answer comes"))
+    fn receive_response(&mut self) -> FinalResponse {
+        FinalResponse::of_frame(&self.next_frame().expect("a response comes"))
     }
 }
 
@@ -160,19 +160,19 @@
         self.send(&message);
     }
 
-    fn receive_answer(&mut self) -> Answer {
-        Answer::of_message(&self.next_message())
+    fn receive_response(&mut self) -> FinalResponse {
+        FinalResponse::of_message(&self.next_message())
     }
 }
 
-/// The answers and worker commands that the requests led to on one front end.
+/// The responses and worker commands that the requests led to on one frontend.
 #[derive(Debug, PartialEq, Eq)]
 struct Observation {
-    answers: Vec<Answer>,
+    responses: Vec<FinalResponse>,
     commands: BTreeMap<CommandKind, usize>,
 }
 
-/// Sends all requests to a new scheduler over the front end that `connect` connects to.
+/// Sends all requests to a new scheduler over the frontend that `connect` connects to.
 fn observe<C: TestClient>(connect: impl Fn(&SchedulerProcess) -> C) -> Observation {
     let workers = [StandInWorker::node_agent(), StandInWorker::node_agent()];
     // With little memory no function is kept loaded on all workers. Such loads are repeated on a timer, so their number
@@ -190,15 +190,15 @@
         client.send_test_request(number, request);
     }
     for _ in &burst {
-        assert_eq!(client.receive_answer(), Answer::Rejected);
+        assert_eq!(client.receive_response(), FinalResponse::Rejected);
     }
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for (number, request) in (1..).zip(&test_requests()) {
         client.send_test_request(number, request);
-        answers.push(client.receive_answer());
+        responses.push(client.receive_response());
     }
     Observation {
-        answers,
+        responses,
         commands: total_commands(&logs),
     }
 }
@@ -212,15 +212,15 @@
 }
 
 #[test]
-fn both_front_ends_give_the_same_answers_and_load_orders() {
+fn both_frontends_give_the_same_responses_and_load_orders() {
     let frames = observe(FrameClient::connect);
     let jsonrpc = observe(JsonRpcClient::connect);
     assert_eq!(frames, jsonrpc);
     assert_eq!(frames.commands[&CommandKind::Load], 1, "{:?}", frames.commands);
     let rejected = frames
-        .answers
+        .responses
         .iter()
-        .filter(|answer| **answer == Answer::Rejected)
+        .filter(|response| **response == FinalResponse::Rejected)
         .count();
     assert_eq!(rejected, 4 + 4 + 1, "full, error and silence");
 }
--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn jsonrpc_worker_serves_both_front_ends_under_the_same_rules() {
+fn jsonrpc_worker_serves_both_frontends_under_the_same_rules() {
     let folder = TempFolder::new();
     let path = folder.file("worker.sock");
     let worker = StandInWorker::jsonrpc(&path);
