--- a/src/scheduler/command.rs
+++ b/src/scheduler/command.rs
@@ -6,8 +6,8 @@
 
 /// A command to a frontend or to the backend, to be executed in order.
 ///
-/// It marks the border between the scheduler, which has no sockets, and the event loop. Three more types stand for the
-/// same work on its way:
+/// It marks the border between the scheduler, which has no sockets, and the event loop. Four more types stand for the
+/// same work on its way, each at a border of its own:
 ///
 /// - An [`Action`](crate::model::Action) marks the border before this one, between the policy and its host: it names a
 ///   request and a worker, and the scheduler adds what the policy does not know, such as the body and the attempt's
@@ -15,6 +15,8 @@
 /// - The attempt, load order or health check that a command starts is the scheduler's record of it. It begins with the
 ///   command, ends with the worker's response, a failure or a timer, and is named by [`AttemptId`], [`LoadOrderId`] or
 ///   [`HealthCheckId`] on both sides of this border.
+/// - A worker command of the backend marks the border between its pool, which chooses a connection, and that
+///   connection: it is this command without its worker.
 /// - An exchange is the backend's record of the same work on one connection: a command that was written, or waits to
 ///   be, and the response that it is owed.
 #[derive(Clone, Debug)]
