--- a/src/frontend/delivery.rs
+++ b/src/frontend/delivery.rs
@@ -41,6 +41,7 @@
 /// The client's side of a connection, if it is of one of the protocols that clients speak.
 fn as_client(connection: &mut dyn Connection<RuntimeState>) -> Option<&mut dyn Client> {
     let connection: &mut dyn Any = connection;
+    // Asked first: a downcast that fails would keep the connection borrowed for the second.
     if connection.is::<FrameConnection>() {
         return connection
             .downcast_mut::<FrameConnection>()
--- a/src/frontend/jsonrpc_codec/errors.rs
+++ b/src/frontend/jsonrpc_codec/errors.rs
@@ -14,7 +14,7 @@
     InvalidParams = -32602,
     /// Not done, and a retry is harmless after `data.cooldown_ms`.
     Rejected = -32001,
-    /// Failed; nothing is promised.
+    /// Failed; the request may have run.
     Failed = -32002,
     /// The call's deadline has passed; `data.outcome` is `refused` (a retry is harmless) or `failed`.
     DeadlineExceeded = -32003,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 //! # The policy
 //!
 //! [`Policy`] is a state machine without clock, I/O or threads. Feed it [`Event`]s with the time at which
-//! they happened, carry out the [`Action`]s that it appends, and tell it when a timer that it has set fires.
+//! they happened, carry out the [`Action`]s that it appends, and notify it when a timer that it has set fires.
 //!
 //! ```
 //! use function_scheduler::*;
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -51,7 +51,8 @@
             && (instance.is_loaded(self.now) || is_only_load())
     }
 
-    /// Load orders of a function that a request still waits for.
+    /// Load orders of a function that are under way, and recent enough that a request would still wait for
+    /// them.
     pub(super) fn pending_loads(&self, function: FunctionId) -> usize {
         self.cluster
             .pending_loads(function, self.now, LOAD_ORDER_PATIENCE)
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -149,7 +149,7 @@
         self.read_waiting_input(client, reactor);
     }
 
-    /// What a client has sent while it waited to be accepted has less time left.
+    /// Reads at once what a client has sent while it waited to be accepted: its requests have less time left.
     fn read_waiting_input(&self, client: Option<ConnectionId>, reactor: &mut Reactor) {
         if let (Some(client), Some(since)) = (client, self.blocked_since) {
             reactor.read_waiting_input(client, since);
--- a/src/server/transient.rs
+++ b/src/server/transient.rs
@@ -1,4 +1,4 @@
-//! Which failures of the system are transient, so that a retry is worth it, and for how long a start is retried.
+//! Which failures of the system are transient, so that what failed is retried, and for how long a start is retried.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
