--- a/src/bin/function-scheduler-sim/host.rs
+++ b/src/bin/function-scheduler-sim/host.rs
@@ -1,6 +1,6 @@
 //! The hosted instances: one policy each, and the endpoint lists that their updates refer to.
 
-use crate::codec::{InstanceId, ListId, Record, Reply};
+use function_scheduler::simulator_codec::{InstanceId, ListId, Record, Reply};
 use function_scheduler::{Action, Endpoint, EndpointUpdateKind, Event, Policy, Time, config};
 use std::collections::BTreeMap;
 
--- a/src/bin/function-scheduler-sim/main.rs
+++ b/src/bin/function-scheduler-sim/main.rs
@@ -2,10 +2,9 @@
 //! simulated scheduler instance, and answers each batch on standard output with the actions of the policies.
 #![forbid(unsafe_code)]
 
-mod codec;
 mod host;
 
-use codec::{Reply, WireError, read_batch, read_records};
+use function_scheduler::simulator_codec::{Reply, WireError, read_batch, read_records};
 use host::Host;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 //! - [`Policy`] takes the decisions. The types that it shares with the code around it are at the crate's
 //!   root.
 //! - [`logging`] writes the process's log without ever making the event loop wait.
+//! - [`simulator_codec`] is the simulator's wire, on which the second program serves the same policy.
 //! - [`vrrp`] elects one of several servers. Like the policy it is pure.
 //!
 //! # The policy
@@ -107,6 +108,7 @@
 mod policy;
 pub mod scheduler;
 pub mod server;
+pub mod simulator_codec;
 mod stats;
 pub mod vrrp;
 
--- a/src/bin/function-scheduler-sim/codec/batch.rs
+++ b/src/simulator_codec/batch.rs
@@ -2,7 +2,7 @@
 
 use super::cursor::FieldCursor;
 use super::error::{RecordLocation, WireError};
-use function_scheduler::Time;
+use crate::Time;
 use std::io::{self, Read};
 
 /// Bytes of a batch's header: the clock, the length and the number of records.
@@ -14,9 +14,9 @@
 
 /// One batch of event records, not yet decoded.
 #[derive(Debug)]
-pub(crate) struct Batch {
+pub struct Batch {
     /// The simulator's clock, at which all events of the batch happen.
-    pub(crate) now: Time,
+    pub now: Time,
     /// Number of records in `records`.
     pub(super) record_count: u32,
     /// The records, back to back.
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// The input cannot be read, ends inside a batch, or the header's length is too small.
-pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
     };
--- a/src/bin/function-scheduler-sim/codec/codes.rs
+++ b/src/simulator_codec/codes.rs
@@ -1,7 +1,7 @@
 //! The numbers of the wire: one table for the event records, one for the action records, and one for each
 //! coded field.
 
-use function_scheduler::{
+use crate::{
     Action, AttemptStatus, EndpointState, EndpointUpdateKind, HealthCheckStatus, InstanceState, LoadStatus,
 };
 
--- a/src/bin/function-scheduler-sim/codec/cursor.rs
+++ b/src/simulator_codec/cursor.rs
@@ -2,7 +2,7 @@
 
 use super::codes::FieldCode;
 use super::error::{RecordLocation, WireError};
-use function_scheduler::WorkerId;
+use crate::WorkerId;
 
 /// The fields of one record, and how far they have been read.
 ///
--- a/src/bin/function-scheduler-sim/codec/error.rs
+++ b/src/simulator_codec/error.rs
@@ -7,7 +7,7 @@
 
 /// Why a batch cannot be decoded, or a reply not be written.
 #[derive(Debug, Error)]
-pub(crate) enum WireError {
+pub enum WireError {
     /// The input failed while a header was read.
     #[error("batch header: cannot read: {0}")]
     ReadHeader(#[source] io::Error),
@@ -89,7 +89,7 @@
 
 /// Where a record is.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RecordLocation {
+pub struct RecordLocation {
     /// Its name on the wire page.
     pub(super) name: &'static str,
     /// Its first byte, counted from the start of the batch.
--- a/src/bin/function-scheduler-sim/codec/mod.rs
+++ b/src/simulator_codec/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The format is that of the page `WIRE-dykecove.md`. Everything is big-endian and without padding. A record
 //! is a code of one byte, the length of its fields in four bytes, and the fields back to back. Names of the
-//! page are used in this module only; the rest of the adapter uses the types of the library's model.
+//! page are used in this module only; the adapter around it uses the types of the library's model.
 
 mod batch;
 mod codes;
@@ -11,7 +11,7 @@
 mod records;
 mod reply;
 
-pub(crate) use batch::read_batch;
-pub(crate) use error::WireError;
-pub(crate) use records::{InstanceId, ListId, Record, read_records};
-pub(crate) use reply::Reply;
+pub use batch::{Batch, read_batch};
+pub use error::{RecordLocation, WireError};
+pub use records::{InstanceId, ListId, Record, read_records};
+pub use reply::Reply;
--- a/src/bin/function-scheduler-sim/codec/records.rs
+++ b/src/simulator_codec/records.rs
@@ -4,22 +4,22 @@
 use super::codes::{AnswerRemark, EventCode};
 use super::cursor::FieldCursor;
 use super::error::{RecordLocation, WireError};
-use function_scheduler::{
+use crate::{
     AttemptOutcome, CellId, ClassId, Endpoint, EndpointUpdateKind, Event, FunctionId, IncomingRequest,
     KindId, LoadOutcome, RequestId, Span, TenantId, Time, ZoneId,
 };
 
 /// Number of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct InstanceId(pub(crate) u16);
+pub struct InstanceId(pub u16);
 
 /// Number of an endpoint list; the simulator reuses it for later lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct ListId(pub(crate) u16);
+pub struct ListId(pub u16);
 
 /// A record of a batch.
 #[derive(Debug)]
-pub(crate) enum Record {
+pub enum Record {
     /// An instance starts, with an empty state.
     OpenInstance {
         /// The instance.
@@ -67,7 +67,7 @@
 ///
 /// The first record that does not match its length or contains an unknown code, or bytes after the last
 /// record.
-pub(crate) fn read_records(batch: &Batch) -> Result<Vec<Record>, WireError> {
+pub fn read_records(batch: &Batch) -> Result<Vec<Record>, WireError> {
     let location = RecordLocation {
         name: "records",
         position: HEADER_LENGTH,
--- a/src/bin/function-scheduler-sim/codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -2,7 +2,7 @@
 
 use super::codes::ActionCode;
 use super::records::InstanceId;
-use function_scheduler::{Action, WorkerId};
+use crate::{Action, WorkerId};
 
 /// Longest text of a `FAULT` record, in bytes.
 const MAX_FAULT_LENGTH: usize = 1000;
@@ -15,21 +15,21 @@
 
 /// The reply to one batch, under construction.
 #[derive(Debug, Default)]
-pub(crate) struct Reply {
+pub struct Reply {
     record_count: u32,
     records: Vec<u8>,
 }
 
 impl Reply {
     /// Appends an action of an instance.
-    pub(crate) fn add_action(&mut self, instance: InstanceId, action: &Action) {
+    pub fn add_action(&mut self, instance: InstanceId, action: &Action) {
         self.add_record(ActionCode::from(action), instance, |fields| {
             put_action(fields, action)
         });
     }
 
     /// Appends the report that an instance cannot go on; a text that is too long is cut.
-    pub(crate) fn add_fault(&mut self, instance: InstanceId, text: &str) {
+    pub fn add_fault(&mut self, instance: InstanceId, text: &str) {
         let length = text.len().min(MAX_FAULT_LENGTH);
         let text = &text.as_bytes()[..length];
         self.add_record(ActionCode::Fault, instance, |fields| {
@@ -38,7 +38,7 @@
     }
 
     /// The reply as it is sent: the number of records, the length of the records, the records.
-    pub(crate) fn into_bytes(self) -> Vec<u8> {
+    pub fn into_bytes(self) -> Vec<u8> {
         let mut bytes = Vec::new();
         bytes.extend(self.record_count.to_be_bytes());
         bytes.extend((self.records.len() as u32).to_be_bytes());
