--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -35,7 +35,7 @@
 /// missing then.
 ///
 /// Time, above 0. Source: PROTOCOL, as above.
-const MAX_DOUBT: Span = Span::from_millis(2_000);
+const OUTAGE_SUSPICION_LEAD: Span = Span::from_millis(2_000);
 /// Fraction of the grace period in which new work may still be sent; the rest is for the way to the worker.
 ///
 /// Fraction, 0 to 1. Source: judgement.
@@ -117,7 +117,7 @@
 
     /// Whether several heartbeats are missing, and what was not delivered counts as notified soon.
     pub(super) fn is_list_doubtful(&self) -> bool {
-        let soon = self.now + self.usable_grace().min(MAX_DOUBT);
+        let soon = self.now + self.usable_grace().min(OUTAGE_SUSPICION_LEAD);
         self.list_lease
             .notified_from
             .is_some_and(|notified_from| notified_from <= soon)
