--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether several heartbeats are missing, and what was not delivered counts as notified soon.
-    pub(super) fn is_list_doubtful(&self) -> bool {
+    pub(super) fn is_outage_suspected(&self) -> bool {
         let soon = self.now + self.usable_grace().min(OUTAGE_SUSPICION_LEAD);
         self.list_lease
             .notified_from
--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -42,7 +42,7 @@
 
     /// When a request is to renew the last lease; none if it need not wait for that.
     fn renewal_due_at(&self, id: RequestId) -> Option<Time> {
-        let stale_at = self.list_stale_at().filter(|_| self.is_list_doubtful())?;
+        let stale_at = self.list_stale_at().filter(|_| self.is_outage_suspected())?;
         let request = self.cluster.requests.get(&id)?;
         let time_allowed = request.deadline - request.received_at;
         let waits_until = request.received_at + time_allowed.mul_f64(MAX_WAIT);
