--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -22,7 +22,7 @@
 
 impl Policy {
     /// Keeps a new request in reserve if it is needed later to renew the last lease; whether it does.
-    pub(super) fn keep_in_reserve(&mut self, id: RequestId) -> bool {
+    pub(super) fn hold_for_lease_renewal(&mut self, id: RequestId) -> bool {
         let due_at = self.renewal_due_at(id).filter(|due_at| *due_at > self.now);
         let Some(due_at) = due_at else {
             self.reserve.remove(&id);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -47,7 +47,7 @@
 impl Policy {
     /// Sends a request to a worker, has it wait, or ends it.
     pub(super) fn place(&mut self, id: RequestId) {
-        if !self.keep_in_reserve(id) {
+        if !self.hold_for_lease_renewal(id) {
             self.place_now(id);
         }
     }
