--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -99,7 +99,7 @@
         self.list_lease.update(at, status);
         let releases = status == WatchStatus::Confirmed && !self.reserve.is_empty();
         if releases {
-            self.release_reserve(at);
+            self.release_held_requests(at);
         }
         releases
     }
--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -55,7 +55,7 @@
     }
 
     /// Has the requests in reserve placed at `at`: the list is confirmed, and they need not wait any longer.
-    pub(super) fn release_reserve(&mut self, at: Time) {
+    pub(super) fn release_held_requests(&mut self, at: Time) {
         for id in std::mem::take(&mut self.reserve) {
             self.timers.schedule(at, Timer::Placement(id));
         }
