--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -10,7 +10,7 @@
 ///
 /// Requests, from 1 up. Source: measured (`tests/policy/outage_service.rs`, 4 requests a second, 40 seeds):
 /// 86% are served; with one less 77%, with one more, which wait too long, 76%, and without any 10%.
-const MAX_RESERVE: usize = 3;
+const MAX_HELD_REQUESTS: usize = 3;
 /// Workers with leases from which on no request waits: so many show that requests are frequent.
 ///
 /// Workers, from 1 up. Source: measured, as above: with two 76% are served, with four 84%.
@@ -32,7 +32,7 @@
         self.reserve.retain(|held| requests.contains_key(held));
         self.reserve.insert(id);
         self.schedule(due_at - self.now, Timer::Placement(id));
-        if self.reserve.len() > MAX_RESERVE
+        if self.reserve.len() > MAX_HELD_REQUESTS
             && let Some(oldest) = self.reserve.pop_first()
         {
             self.place_now(oldest);
