--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -97,7 +97,7 @@
     /// wait any longer: then an [`Event::TimerFired`](crate::model::Event::TimerFired) is to follow.
     pub fn watch_changed(&mut self, at: Time, status: WatchStatus) -> bool {
         self.list_lease.update(at, status);
-        let releases = status == WatchStatus::Confirmed && !self.reserve.is_empty();
+        let releases = status == WatchStatus::Confirmed && !self.held_requests.is_empty();
         if releases {
             self.release_held_requests(at);
         }
--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -25,15 +25,15 @@
     pub(super) fn hold_for_lease_renewal(&mut self, id: RequestId) -> bool {
         let due_at = self.renewal_due_at(id).filter(|due_at| *due_at > self.now);
         let Some(due_at) = due_at else {
-            self.reserve.remove(&id);
+            self.held_requests.remove(&id);
             return false;
         };
         let requests = &self.cluster.requests;
-        self.reserve.retain(|held| requests.contains_key(held));
-        self.reserve.insert(id);
+        self.held_requests.retain(|held| requests.contains_key(held));
+        self.held_requests.insert(id);
         self.schedule(due_at - self.now, Timer::Placement(id));
-        if self.reserve.len() > MAX_HELD_REQUESTS
-            && let Some(oldest) = self.reserve.pop_first()
+        if self.held_requests.len() > MAX_HELD_REQUESTS
+            && let Some(oldest) = self.held_requests.pop_first()
         {
             self.place_now(oldest);
         }
@@ -56,7 +56,7 @@
 
     /// Has the requests in reserve placed at `at`: the list is confirmed, and they need not wait any longer.
     pub(super) fn release_held_requests(&mut self, at: Time) {
-        for id in std::mem::take(&mut self.reserve) {
+        for id in std::mem::take(&mut self.held_requests) {
             self.timers.schedule(at, Timer::Placement(id));
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -102,7 +102,7 @@
     cluster: Cluster,
     list_lease: ListLease,
     /// Requests that wait to renew a lease.
-    reserve: BTreeSet<RequestId>,
+    held_requests: BTreeSet<RequestId>,
     /// Mean fraction of the latency objective, 0 to 1, that attempts used, over all workers.
     saturation: DecayingAverage,
     /// Fraction of the workers, 0 to 1, that are at capacity, as last measured.
@@ -120,7 +120,7 @@
             actions: Vec::new(),
             cluster: Cluster::default(),
             list_lease: ListLease::default(),
-            reserve: BTreeSet::new(),
+            held_requests: BTreeSet::new(),
             saturation: DecayingAverage::default(),
             fraction_at_capacity: 0.0,
         };
