--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -159,11 +159,11 @@
 
     /// Whether no worker may be given new work for want of a lease, and no attempt in flight may bring one.
     pub(super) fn lacks_leases(&self) -> bool {
-        let has_prospect =
+        let may_renew_lease =
             |worker: &Worker| self.expected_lease(worker).is_some_and(|until| until > self.now);
         let mut workers = self.cluster.workers.values();
         self.is_list_stale(self.now)
-            && !workers.any(|worker| self.is_available(worker) || has_prospect(worker))
+            && !workers.any(|worker| self.is_available(worker) || may_renew_lease(worker))
     }
 
     /// Until when a ready worker may be given new work by what it has accepted, and by what is in flight
