--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -17,7 +17,7 @@
 /// How long a request waits for a load order before it is placed again.
 ///
 /// Time, above 0. Source: inherited.
-pub(super) const LOAD_ORDER_PATIENCE: Span = Span::from_millis(3000);
+pub(super) const LOAD_ORDER_MAX_WAIT: Span = Span::from_millis(3000);
 /// Workers that a function may be loaded on which is loaded nowhere.
 ///
 /// Workers, from 1 up. Source: DESIGN ("the less busy of the first two hash-order workers"; its own addition
@@ -161,7 +161,7 @@
         }
         let request = self.cluster.requests.entry(id);
         request.and_modify(|request| request.awaits_load = true);
-        self.schedule(LOAD_ORDER_PATIENCE, Timer::Placement(id));
+        self.schedule(LOAD_ORDER_MAX_WAIT, Timer::Placement(id));
     }
 
     /// The worker that is ordered to load a function which is loaded nowhere.
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -1,6 +1,6 @@
 //! Load orders: instances loaded ahead of requests, and the limits on all orders.
 
-use super::placement::LOAD_ORDER_PATIENCE;
+use super::placement::LOAD_ORDER_MAX_WAIT;
 use super::{BACKOFF, Policy};
 use crate::cluster::Worker;
 use crate::collections::mix64;
@@ -55,7 +55,7 @@
     /// them.
     pub(super) fn pending_loads(&self, function: FunctionId) -> usize {
         self.cluster
-            .pending_loads(function, self.now, LOAD_ORDER_PATIENCE)
+            .pending_loads(function, self.now, LOAD_ORDER_MAX_WAIT)
     }
 
     /// Whether a load may be ordered: the worker is ready and has a slot, and the rate limit allows it.
