--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -44,7 +44,7 @@
 ///
 /// Requests, from 0 up. Source: inherited. With one, case4356 and case4803 scored lower and case3338 higher
 /// (journal 20261201T162543 and after).
-const CHANCE_REQUESTS: u32 = 2;
+const NOISE_REQUESTS: u32 = 2;
 /// Concurrent requests that instances are wanted for, for each that is estimated, while no worker is at
 /// capacity: the surplus is for bursts.
 ///
@@ -114,7 +114,7 @@
         let window = self.cluster.popularity_window.window_length(self.now);
         let window = window.max(BUCKET_LENGTH).as_secs_f64();
         let schedulers = f64::from(self.settings.fleet_size.max(1));
-        let steady_requests = f64::from(requests.saturating_sub(CHANCE_REQUESTS));
+        let steady_requests = f64::from(requests.saturating_sub(NOISE_REQUESTS));
         let concurrent = steady_requests / window * schedulers * self.cluster.baseline_latency[class].value();
         let burst_factor =
             IDLE_BURST_FACTOR + (SATURATED_BURST_FACTOR - IDLE_BURST_FACTOR) * self.fraction_at_capacity;
