--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -13,7 +13,7 @@
 /// Workers in hash order that a request looks at for each instance wanted...
 ///
 /// Workers for each instance, from 1 up. Source: inherited.
-const NEARBY_WORKERS_PER_INSTANCE: usize = 2;
+const CANDIDATES_PER_INSTANCE: usize = 2;
 /// ...and this many more.
 ///
 /// Workers, from 0 up. Source: inherited.
@@ -87,7 +87,7 @@
         });
         let mut workers = self.without_outliers(allowed.collect());
         if !self.is_replicated_to_all(function) {
-            workers.truncate(demand.instances * NEARBY_WORKERS_PER_INSTANCE + NEARBY_WORKERS);
+            workers.truncate(demand.instances * CANDIDATES_PER_INSTANCE + NEARBY_WORKERS);
         }
         // Other schedulers' requests have had the instances loaded where the common hash order says.
         let presumed_instances = if demand.is_sparsely_sampled {
