--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -17,7 +17,7 @@
 /// ...and this many more.
 ///
 /// Workers, from 0 up. Source: inherited.
-const NEARBY_WORKERS: usize = 12;
+const EXTRA_CANDIDATES: usize = 12;
 /// Requests in flight that crossing a zone weighs as, for each unit of its price.
 ///
 /// Requests for each unit of the price, from 0 up. Source: inherited.
@@ -87,7 +87,7 @@
         });
         let mut workers = self.without_outliers(allowed.collect());
         if !self.is_replicated_to_all(function) {
-            workers.truncate(demand.instances * CANDIDATES_PER_INSTANCE + NEARBY_WORKERS);
+            workers.truncate(demand.instances * CANDIDATES_PER_INSTANCE + EXTRA_CANDIDATES);
         }
         // Other schedulers' requests have had the instances loaded where the common hash order says.
         let presumed_instances = if demand.is_sparsely_sampled {
