--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -26,7 +26,7 @@
 ///
 /// Fraction, 0 to 1. Source: measured (commit 81edb9a; journal 20261201T162230). With the half that was
 /// inherited a zone that was cut off was sent requests again.
-const MIN_HEALTHY: f64 = 0.25;
+const MIN_HEALTHY_FRACTION: f64 = 0.25;
 /// A worker is a hotspot with more than this many times the mean requests in flight...
 ///
 /// Ratio, above 1. Source: measured (commit e761fed; journal 20261201T155907). With 1.5 the scores were lower
@@ -109,7 +109,7 @@
     /// Leaves out ejected workers, unless few would be left, and of the rest the hotspots, unless most are.
     fn without_outliers<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
         let is_healthy = |worker: &&Worker| !worker.health.ejection.is_active(self.now);
-        let workers = retain_unless_few(workers, MIN_HEALTHY, is_healthy);
+        let workers = retain_unless_few(workers, MIN_HEALTHY_FRACTION, is_healthy);
         let in_flight: f64 = workers.iter().map(|w| w.load.total_in_flight()).sum();
         let mean = in_flight / workers.len().max(1) as f64;
         let most = mean * HOTSPOT_FACTOR + HOTSPOT_ALLOWANCE;
