--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -39,7 +39,7 @@
 /// Fraction of the workers that must be no hotspots for the hotspots to be left out.
 ///
 /// Fraction, 0 to 1. Source: inherited, where it held for ejected workers.
-const MIN_OUTSIDE_HOTSPOTS: f64 = 0.5;
+const MIN_NON_HOTSPOT_FRACTION: f64 = 0.5;
 
 /// What the worker for a request is chosen from.
 pub(super) struct Placement {
@@ -113,7 +113,7 @@
         let in_flight: f64 = workers.iter().map(|w| w.load.total_in_flight()).sum();
         let mean = in_flight / workers.len().max(1) as f64;
         let most = mean * HOTSPOT_FACTOR + HOTSPOT_ALLOWANCE;
-        retain_unless_few(workers, MIN_OUTSIDE_HOTSPOTS, |w| {
+        retain_unless_few(workers, MIN_NON_HOTSPOT_FRACTION, |w| {
             w.load.total_in_flight() <= most
         })
     }
