--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -54,7 +54,7 @@
 /// How long a request may wait for capacity in an overloaded fleet, as a fraction of its latency objective.
 ///
 /// Fraction, 0 to 1. Source: inherited.
-const OVERLOADED_MAX_WAIT: f64 = 0.2;
+const OVERLOADED_MAX_WAIT_FRACTION: f64 = 0.2;
 /// How long a request may wait for capacity at all, as a fraction of the time until its deadline.
 ///
 /// Fraction, 0 to 0.5: PROTOCOL prices a rejection after more than half of the time. Source: inherited,
@@ -134,7 +134,8 @@
         let request = &self.cluster.requests[&id];
         let has_waited = |wait: Span| self.now > request.received_at + wait;
         let is_overloaded = self.fraction_at_capacity > OVERLOADED_FRACTION;
-        let is_late = is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT));
+        let is_late =
+            is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT_FRACTION));
         let is_hopeless = has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT));
         if is_late || is_hopeless || !self.may_retry(request.class, request.first_run()) {
             self.reject_or_fail(id, RejectionCause::NotServed);
