--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -59,7 +59,7 @@
 ///
 /// Fraction, 0 to 0.5: PROTOCOL prices a rejection after more than half of the time. Source: inherited,
 /// within the range of PROTOCOL.
-pub(super) const MAX_WAIT: f64 = 0.4;
+pub(super) const MAX_WAIT_FRACTION: f64 = 0.4;
 /// Least divisor where a time is divided by.
 ///
 /// Seconds, above 0. Source: inherited.
@@ -136,7 +136,7 @@
         let is_overloaded = self.fraction_at_capacity > OVERLOADED_FRACTION;
         let is_late =
             is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT_FRACTION));
-        let is_hopeless = has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT));
+        let is_hopeless = has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT_FRACTION));
         if is_late || is_hopeless || !self.may_retry(request.class, request.first_run()) {
             self.reject_or_fail(id, RejectionCause::NotServed);
         } else {
--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -1,7 +1,7 @@
 //! Renewal of leases where requests are few: some wait a little, so that there is one to send before the last
 //! lease expires. Once no worker has a lease, nothing but discovery brings one back.
 
-use super::admission::MAX_WAIT;
+use super::admission::MAX_WAIT_FRACTION;
 use super::{Policy, Timer};
 use crate::cluster::Request;
 use crate::model::{EndpointSource, RequestId, Time};
@@ -45,7 +45,7 @@
         let stale_at = self.list_stale_at().filter(|_| self.is_outage_suspected())?;
         let request = self.cluster.requests.get(&id)?;
         let time_allowed = request.deadline - request.received_at;
-        let waits_until = request.received_at + time_allowed.mul_f64(MAX_WAIT);
+        let waits_until = request.received_at + time_allowed.mul_f64(MAX_WAIT_FRACTION);
         if !is_new(request) || self.now >= waits_until {
             return None;
         }
