--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -38,7 +38,7 @@
 /// Wait, as a fraction of its latency objective, after which a request may start a load on a further worker.
 ///
 /// Fraction, 0 to 1. Source: inherited.
-const OVERFLOW_DELAY: f64 = 0.08;
+const OVERFLOW_DELAY_FRACTION: f64 = 0.08;
 /// Fraction of the workers at capacity above which no request does.
 ///
 /// Fraction, 0 to 1. Source: inherited.
@@ -115,7 +115,7 @@
         let waited = self.now - request.received_at;
         self.settings.loading.on_miss == OnMiss::Load
             && self.fraction_at_capacity <= OVERFLOW_MAX_FRACTION
-            && waited >= request.latency_objective.mul_f64(OVERFLOW_DELAY)
+            && waited >= request.latency_objective.mul_f64(OVERFLOW_DELAY_FRACTION)
             && !self.cluster.is_load_awaited(request.function, self.now)
     }
 
