--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -42,7 +42,7 @@
 /// Fraction of the workers at capacity above which no request does.
 ///
 /// Fraction, 0 to 1. Source: inherited.
-const OVERFLOW_MAX_FRACTION: f64 = 0.34;
+const OVERFLOW_MAX_AT_CAPACITY: f64 = 0.34;
 
 impl Policy {
     /// Sends a request to a worker, has it wait, or ends it.
@@ -114,7 +114,7 @@
     fn may_overflow(&self, request: &Request) -> bool {
         let waited = self.now - request.received_at;
         self.settings.loading.on_miss == OnMiss::Load
-            && self.fraction_at_capacity <= OVERFLOW_MAX_FRACTION
+            && self.fraction_at_capacity <= OVERFLOW_MAX_AT_CAPACITY
             && waited >= request.latency_objective.mul_f64(OVERFLOW_DELAY_FRACTION)
             && !self.cluster.is_load_awaited(request.function, self.now)
     }
