--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -17,7 +17,7 @@
 ///
 /// Fraction, 0 to 1. Source: measured (commit 37883db; journal 20261201T160542). With a third the three
 /// recordings scored lower (20261201T160647 and after).
-const ZONE_SILENCE: f64 = 0.5;
+const ZONE_SILENCE_FRACTION: f64 = 0.5;
 /// Silent workers for which a zone is ejected.
 ///
 /// Workers, from 1 up. Source: judgement (commit 37883db).
@@ -81,7 +81,8 @@
         let inside = self.cluster.last_heard(|worker| worker.endpoint.zone == zone);
         let outside = self.cluster.last_heard(|worker| worker.endpoint.zone != zone);
         let attempts = self.cluster.attempts.values().filter(|attempt| {
-            let is_old = self.now - attempt.sent_at > attempt.latency_objective.mul_f64(ZONE_SILENCE);
+            let is_old =
+                self.now - attempt.sent_at > attempt.latency_objective.mul_f64(ZONE_SILENCE_FRACTION);
             let sent_at = Some(attempt.sent_at);
             attempt.endpoint.zone == zone && is_old && inside < sent_at && sent_at < outside
         });
