--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -8,7 +8,7 @@
 /// A worker with requests in flight is sent a health check once it has been silent for this long.
 ///
 /// Time, above 0. Source: inherited.
-const CHECK_AFTER: Span = Span::from_millis(800);
+const HEALTH_CHECK_AFTER: Span = Span::from_millis(800);
 /// Unanswered health checks in a row for which a worker is ejected.
 ///
 /// Health checks, from 1 up. Source: inherited.
@@ -43,7 +43,7 @@
             let worker = self.cluster.process_of(&attempt);
             let Some(worker) = worker else { continue };
             let silent_since = attempt.sent_at.max(worker.health.liveness.last_heard());
-            let is_silent = self.now - silent_since >= CHECK_AFTER;
+            let is_silent = self.now - silent_since >= HEALTH_CHECK_AFTER;
             if is_silent && worker.health.liveness.begin_check() {
                 let worker = attempt.endpoint.worker;
                 self.actions.push(Action::HealthCheck { worker });
