--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -32,7 +32,7 @@
 /// Weight of a response in its worker's saturation.
 ///
 /// Fraction, 0 to 1. Source: inherited.
-const WORKER_WEIGHT: f64 = 0.15;
+const WORKER_SATURATION_WEIGHT: f64 = 0.15;
 /// Saturation over all workers from which new requests are shed.
 ///
 /// Fraction, 0 to 1, exclusive. Source: inherited.
@@ -82,7 +82,7 @@
     /// Adapts the concurrency limit to the fraction of its objective that a request used at a loaded
     /// instance.
     pub(super) fn adapt_limit(&mut self, objective_used: f64, now: Time) {
-        self.saturation.update(objective_used, WORKER_WEIGHT);
+        self.saturation.update(objective_used, WORKER_SATURATION_WEIGHT);
         // The mean lags behind: a quick response is no sign of overload.
         if self.saturation.value() > WORKER_SATURATION && objective_used > WORKER_SATURATION {
             self.concurrency_limit.decrease(now, &CONCURRENCY_LIMIT);
