--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -21,7 +21,7 @@
 /// Weight of an attempt in the saturation over all workers.
 ///
 /// Fraction, 0 to 1. Source: inherited.
-const SATURATION_WEIGHT: f64 = 0.1;
+const FLEET_SATURATION_WEIGHT: f64 = 0.1;
 /// Weight of a latency in its class's baseline.
 ///
 /// Fraction, 0 to 1. Source: inherited.
@@ -123,7 +123,7 @@
         worker.record_error_rate(outcome.status, attempt, now);
         worker.record_failure(outcome.status, attempt, is_silent, now);
         let used = objective_used(attempt, outcome).unwrap_or(self.saturation.value());
-        self.saturation.update(used, SATURATION_WEIGHT);
+        self.saturation.update(used, FLEET_SATURATION_WEIGHT);
         if outcome.status == AttemptStatus::Ok {
             self.record_success(outcome, attempt, used);
         }
