--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -63,12 +63,12 @@
 /// Least divisor where a time is divided by.
 ///
 /// Seconds, above 0. Source: inherited.
-const MIN_SECONDS: f64 = 0.001;
+const MIN_DIVISOR_SECONDS: f64 = 0.001;
 
 /// The fraction of its latency objective that an attempt used, where that shows how loaded workers are:
 /// neither a wait for a load does, nor a request's second rejection.
 pub(super) fn objective_used(attempt: &Attempt, outcome: &AttemptOutcome) -> Option<f64> {
-    let objective = attempt.latency_objective.as_secs_f64().max(MIN_SECONDS);
+    let objective = attempt.latency_objective.as_secs_f64().max(MIN_DIVISOR_SECONDS);
     let fraction = (outcome.latency.as_secs_f64() / objective).min(1.0);
     match outcome.status {
         AttemptStatus::Ok if attempt.expected_warm => Some(fraction),
@@ -105,7 +105,11 @@
     }
 
     fn is_high_priority(&self, class: usize) -> bool {
-        let work = |class: usize| self.cluster.baseline_latency[class].value().max(MIN_SECONDS);
+        let work = |class: usize| {
+            self.cluster.baseline_latency[class]
+                .value()
+                .max(MIN_DIVISOR_SECONDS)
+        };
         let priority = |class: usize| self.settings.classes[class].priority_weight / work(class);
         let mut others = 0..self.cluster.baseline_latency.len();
         others.any(|other| priority(class) > priority(other) * HIGH_PRIORITY)
