--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -41,7 +41,7 @@
 /// requests are shed later, and a worker's concurrency limit is this multiple for them.
 ///
 /// Ratio, above 1. Source: inherited.
-const HIGH_PRIORITY: f64 = 1.5;
+const HIGH_PRIORITY_RATIO: f64 = 1.5;
 /// What the first request that waits for a load counts less in its worker's limit than one that runs.
 ///
 /// Requests, 0 to 1. Source: measured (commit 6bfc9c2; journal 20261201T163332). The discount for every
@@ -112,14 +112,14 @@
         };
         let priority = |class: usize| self.settings.classes[class].priority_weight / work(class);
         let mut others = 0..self.cluster.baseline_latency.len();
-        others.any(|other| priority(class) > priority(other) * HIGH_PRIORITY)
+        others.any(|other| priority(class) > priority(other) * HIGH_PRIORITY_RATIO)
     }
 
     /// Whether a worker's limit allows another request. The first that waits for a load takes no core there
     /// yet; more of them will want their cores at once.
     pub(super) fn has_capacity(&self, worker: &Worker, class: usize) -> bool {
         let is_high = self.is_high_priority(class);
-        let factor = if is_high { HIGH_PRIORITY } else { 1.0 };
+        let factor = if is_high { HIGH_PRIORITY_RATIO } else { 1.0 };
         let limit = worker.concurrency_limit.value(&CONCURRENCY_LIMIT) * factor;
         let loading = worker.awaited_loads(self.now) as f64;
         f64::from(worker.load.in_flight()) - loading * LOADING_DISCOUNT + 1.0 <= limit.max(1.0)
