--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -140,8 +140,9 @@
         let is_overloaded = self.fraction_at_capacity > OVERLOADED_FRACTION;
         let is_late =
             is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT_FRACTION));
-        let is_hopeless = has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT_FRACTION));
-        if is_late || is_hopeless || !self.may_retry(request.class, request.first_run()) {
+        let exceeds_max_wait =
+            has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT_FRACTION));
+        if is_late || exceeds_max_wait || !self.may_retry(request.class, request.first_run()) {
             self.reject_or_fail(id, RejectionCause::NotServed);
         } else {
             self.schedule(RETRY_DELAY, Timer::Placement(id));
