--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -138,11 +138,12 @@
         let request = &self.cluster.requests[&id];
         let has_waited = |wait: Span| self.now > request.received_at + wait;
         let is_overloaded = self.fraction_at_capacity > OVERLOADED_FRACTION;
-        let is_late =
+        let exceeds_overloaded_wait =
             is_overloaded && has_waited(request.latency_objective.mul_f64(OVERLOADED_MAX_WAIT_FRACTION));
         let exceeds_max_wait =
             has_waited((request.deadline - request.received_at).mul_f64(MAX_WAIT_FRACTION));
-        if is_late || exceeds_max_wait || !self.may_retry(request.class, request.first_run()) {
+        if exceeds_overloaded_wait || exceeds_max_wait || !self.may_retry(request.class, request.first_run())
+        {
             self.reject_or_fail(id, RejectionCause::NotServed);
         } else {
             self.schedule(RETRY_DELAY, Timer::Placement(id));
