--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -67,8 +67,8 @@
     /// Ejects the workers of zones that are cut off.
     pub(super) fn eject_silent_zones(&mut self) {
         for (zone, workers) in self.cluster.workers_by_zone() {
-            let is_cut_off = self.is_cut_off(zone);
-            for id in workers.into_iter().filter(|_| is_cut_off) {
+            let is_zone_unreachable = self.is_zone_unreachable(zone);
+            for id in workers.into_iter().filter(|_| is_zone_unreachable) {
                 self.cluster.workers.entry(id).and_modify(|w| w.eject(self.now));
                 self.cancel_attempts(id);
             }
@@ -77,7 +77,7 @@
 
     /// Whether a zone has not responded to several attempts for a fraction of their objective, while another
     /// zone has responded since. Once all of it has been ejected, one attempt is enough.
-    fn is_cut_off(&self, zone: ZoneId) -> bool {
+    fn is_zone_unreachable(&self, zone: ZoneId) -> bool {
         let inside = self.cluster.last_heard(|worker| worker.endpoint.zone == zone);
         let outside = self.cluster.last_heard(|worker| worker.endpoint.zone != zone);
         let attempts = self.cluster.attempts.values().filter(|attempt| {
