--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -29,10 +29,11 @@
             return true;
         };
         let limits = &self.settings.safety_limits;
-        let tolerable = limits.overload_multiple * limits.capacity_at(age);
+        let tolerated_multiple = limits.overload_multiple * limits.capacity_at(age);
         let work_rate = self.cluster.completed_work.value() / WORK_TIME_CONSTANT.as_secs_f64();
         let worker_rate = work_rate / self.cluster.workers.len().max(1) as f64;
-        let budget = tolerable * worker_rate * limits.overload_window.as_secs_f64() * BUDGET_FRACTION;
+        let budget =
+            tolerated_multiple * worker_rate * limits.overload_window.as_secs_f64() * BUDGET_FRACTION;
         let history = self.cluster.send_history.get(&worker.endpoint.worker);
         let spent = history.map_or(0.0, |h| h.weight_since(self.now - limits.overload_window));
         let work = self.cluster.baseline_latency[class].value();
@@ -41,7 +42,7 @@
         // comes.
         let request = u64::from(id.0) << 32 | u64::from(self.settings.index);
         let drawn = mix64(worker.endpoint.worker.0 ^ mix64(request)) as f64 / (u64::MAX as f64);
-        let is_drawn = drawn < tolerable * ADMISSION_PROBABILITY * (1.0 - self.saturation.value());
+        let is_drawn = drawn < tolerated_multiple * ADMISSION_PROBABILITY * (1.0 - self.saturation.value());
         spent + work <= budget || budget < work && spent == 0.0 && is_drawn
     }
 }
