--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -76,8 +76,8 @@
         let request = &self.cluster.requests[&id];
         let function = &self.cluster.functions[&request.function];
         let demand = self.demand(function, request.class);
-        let by_place: Vec<&Worker> = self.cluster.workers.values().collect();
-        let workers = order.iter().map(|place| by_place[*place]);
+        let by_index: Vec<&Worker> = self.cluster.workers.values().collect();
+        let workers = order.iter().map(|place| by_index[*place]);
         let needs_lease = self.is_list_stale(self.now);
         let allowed = workers.filter(|worker| {
             worker.endpoint.is_ready()
