--- a/src/backend/limits.rs
+++ b/src/backend/limits.rs
@@ -33,7 +33,7 @@
             connect_timeout: site.connect_timeout,
             max_connections,
             max_outgoing_connections: max_connections,
-            schedulers: site.settings.fleet_size as usize,
+            schedulers: site.settings.scheduler_count as usize,
         }
     }
 }
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -43,7 +43,7 @@
     fn try_from(document: &SettingsDocument) -> Result<Settings, ConfigProblem> {
         let metric_names = &document.load_report.metric_names;
         Ok(Settings {
-            fleet_size: document.fleet_size,
+            scheduler_count: document.scheduler_count,
             index: document.index,
             zone: ZoneId(document.zone),
             tick: Span(document.tick_ns),
--- a/src/config/settings/document.rs
+++ b/src/config/settings/document.rs
@@ -24,7 +24,7 @@
 #[serde(expecting = "struct Text")]
 pub(super) struct SettingsDocument {
     #[serde(rename = "fleetSize")]
-    pub(super) fleet_size: u32,
+    pub(super) scheduler_count: u32,
     pub(super) index: u32,
     #[serde(default)]
     pub(super) zone: u8,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -30,7 +30,7 @@
 //! use function_scheduler::*;
 //!
 //! let settings = Settings {
-//!     fleet_size: 2,
+//!     scheduler_count: 2,
 //!     index: 0,
 //!     zone: ZoneId(0),
 //!     tick: Span::from_millis(2),
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -213,7 +213,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// How many schedulers there are.
-    pub fleet_size: u32,
+    pub scheduler_count: u32,
     /// The number of this one, from 0.
     pub index: u32,
     /// The zone of this one.
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -113,7 +113,7 @@
         let requests = function.requests.total();
         let window = self.cluster.popularity_window.window_length(self.now);
         let window = window.max(BUCKET_LENGTH).as_secs_f64();
-        let schedulers = f64::from(self.settings.fleet_size.max(1));
+        let schedulers = f64::from(self.settings.scheduler_count.max(1));
         let steady_requests = f64::from(requests.saturating_sub(NOISE_REQUESTS));
         let concurrent = steady_requests / window * schedulers * self.cluster.baseline_latency[class].value();
         let burst_factor =
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -36,7 +36,7 @@
 
     /// Whether an instance is to be loaded or renewed, and by this scheduler of the fleet.
     fn needs_prewarm(&self, worker: WorkerId, function: FunctionId) -> bool {
-        let schedulers = u64::from(self.settings.fleet_size.max(1));
+        let schedulers = u64::from(self.settings.scheduler_count.max(1));
         let owner = mix64(function.0.rotate_left(32) ^ worker.0) % schedulers;
         if owner != u64::from(self.settings.index) {
             return false;
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -70,7 +70,7 @@
 #[test]
 fn saturation_over_all_workers_sheds_before_anything_is_queued() {
     let settings = Settings {
-        fleet_size: 200,
+        scheduler_count: 200,
         ..test_settings(OnMiss::Load)
     };
     let mut harness = PolicyHarness::new(settings, 40);
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -28,7 +28,7 @@
     let settings = test_settings(OnMiss::Load);
     let of_a_fleet = Settings {
         index: 1,
-        fleet_size: 2,
+        scheduler_count: 2,
         ..settings.clone()
     };
     let mut one = PolicyHarness::new(settings, 9);
@@ -99,7 +99,7 @@
 fn primary_worker_that_reports_many_requests_is_avoided_until_the_report_is_old() {
     let settings = Settings {
         load_metrics: vec![LoadMetric::Utilization, LoadMetric::InFlight],
-        fleet_size: 100,
+        scheduler_count: 100,
         ..test_settings(OnMiss::Load)
     };
     let mut harness = PolicyHarness::new(settings, 6);
--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -178,7 +178,7 @@
 
 fn fleet_settings(index: u32) -> Settings {
     let mut settings = Settings {
-        fleet_size: SCHEDULERS,
+        scheduler_count: SCHEDULERS,
         index,
         ..test_settings(OnMiss::Load)
     };
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -46,7 +46,7 @@
     let mut sent_to_cold = 0;
     for index in 0..600 {
         let settings = Settings {
-            fleet_size: 600,
+            scheduler_count: 600,
             index,
             ..test_settings(OnMiss::Load)
         };
@@ -67,7 +67,7 @@
         let mut sent_to_cold = 0;
         for index in 0..400 {
             let mut settings = Settings {
-                fleet_size: 400,
+                scheduler_count: 400,
                 index,
                 ..test_settings(OnMiss::Load)
             };
@@ -122,7 +122,7 @@
         let mut sent_after = 0;
         for index in 0..200 {
             let settings = Settings {
-                fleet_size: 200,
+                scheduler_count: 200,
                 index,
                 ..test_settings(OnMiss::Load)
             };
@@ -191,7 +191,7 @@
     let mut sent_to_it = 0;
     for index in 0..100 {
         let settings = Settings {
-            fleet_size: 100,
+            scheduler_count: 100,
             index,
             ..test_settings(OnMiss::Load)
         };
--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -102,10 +102,10 @@
 /// connection tables; requests on further connections were rejected.
 #[test]
 fn requests_of_a_large_fleet_share_their_connections_to_a_worker() {
-    for (fleet_size, connections) in [(3, 6), (100, 1)] {
+    for (scheduler_count, connections) in [(3, 6), (100, 1)] {
         let worker = StandInWorker::node_agent();
         let mut settings = default_settings();
-        settings["fleetSize"] = json!(fleet_size);
+        settings["fleetSize"] = json!(scheduler_count);
         let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], settings);
         let mut client = FrameClient::connect(&scheduler);
         let mut commands = Vec::new();
@@ -114,7 +114,7 @@
             commands.push(worker.next_command());
         }
         let used: BTreeSet<usize> = commands.iter().map(|command| command.connection).collect();
-        assert_eq!(used.len(), connections, "{fleet_size} schedulers");
+        assert_eq!(used.len(), connections, "{scheduler_count} schedulers");
         commands.iter_mut().for_each(|command| command.succeed(""));
         for _ in 0..6 {
             assert_eq!(client.next_frame().unwrap().payload, vec![79, 0]);
--- a/tests/support/policy_fixtures.rs
+++ b/tests/support/policy_fixtures.rs
@@ -25,7 +25,7 @@
         window: deduplication_window,
     };
     Settings {
-        fleet_size: 1,
+        scheduler_count: 1,
         index: 0,
         zone: ZoneId(0),
         tick: Span::from_millis(2),
