--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -62,7 +62,7 @@
             return self.reject_or_fail(id, RejectionCause::NotServed);
         }
         let function = request.function;
-        let order = self.cluster.hash_order_places(function);
+        let order = self.cluster.hash_order_indices(function);
         let placement = self.placement(id, &order);
         if placement.candidates.is_empty() && self.lacks_leases() {
             // Waiting brings no lease back, and the client may retry at another scheduler.
