--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -38,7 +38,7 @@
     }
 
     /// The worker could not be reached: what answers there next may be another process.
-    pub(crate) fn lost(&mut self, now: Time) {
+    pub(crate) fn record_unreachable(&mut self, now: Time) {
         self.lost_at = now;
     }
 
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -31,7 +31,7 @@
     /// Ejects a worker that cannot be reached; nothing is expected loaded there.
     pub(super) fn eject(&mut self, now: Time) {
         self.health.ejection.begin(now, BACKOFF);
-        self.acceptance.lost(now);
+        self.acceptance.record_unreachable(now);
         self.expire_instances();
     }
 }
