--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Acceptance {
     last_accepted: Time,
     last_sent: Time,
-    lost_at: Time,
+    unreachable_at: Time,
     rejections: u32,
 }
 
@@ -39,12 +39,12 @@
 
     /// The worker could not be reached: what answers there next may be another process.
     pub(crate) fn record_unreachable(&mut self, now: Time) {
-        self.lost_at = now;
+        self.unreachable_at = now;
     }
 
     /// Whether it could not be reached at some time since then.
     pub(crate) fn was_lost_since(&self, since: Time) -> bool {
-        self.lost_at != NEVER && self.lost_at >= since
+        self.unreachable_at != NEVER && self.unreachable_at >= since
     }
 
     /// How many attempts it has rejected since it last accepted one.
