--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether it could not be reached at some time since then.
-    pub(crate) fn was_lost_since(&self, since: Time) -> bool {
+    pub(crate) fn was_unreachable_since(&self, since: Time) -> bool {
         self.unreachable_at != NEVER && self.unreachable_at >= since
     }
 
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -169,7 +169,11 @@
     /// Until when a ready worker may be given new work by what it has accepted, and by what is in flight
     /// there if it accepts that.
     pub(super) fn expected_lease(&self, worker: &Worker) -> Option<Time> {
-        if !worker.endpoint.is_ready() || worker.acceptance.was_lost_since(self.list_lease.confirmed_at) {
+        if !worker.endpoint.is_ready()
+            || worker
+                .acceptance
+                .was_unreachable_since(self.list_lease.confirmed_at)
+        {
             return None;
         }
         Some(worker.acceptance.last_expected()? + self.usable_grace())
@@ -181,7 +185,9 @@
             return true;
         }
         // A process that has started unnoticed must be spared while it warms up: nobody says that it has.
-        let is_same_process = !worker.acceptance.was_lost_since(self.list_lease.confirmed_at);
+        let is_same_process = !worker
+            .acceptance
+            .was_unreachable_since(self.list_lease.confirmed_at);
         let last_accepted = worker.acceptance.last_accepted();
         is_same_process && last_accepted.is_some_and(|at| now < at + self.usable_grace())
     }
