--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -33,7 +33,7 @@
     }
 
     /// An attempt is sent.
-    pub(crate) fn sent(&mut self, now: Time) {
+    pub(crate) fn record_sent(&mut self, now: Time) {
         self.last_sent = now;
     }
 
--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -53,7 +53,7 @@
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
         worker.load.begin();
-        worker.acceptance.sent(now);
+        worker.acceptance.record_sent(now);
         worker.instance_mut(request.function).in_flight += 1;
         let work = self.baseline_latency[request.class].value();
         self.send_history
