--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -104,7 +104,7 @@
     ) -> bool {
         let was_silent = self.health.liveness.last_heard() < attempt.sent_at;
         if status.is_response() {
-            self.health.liveness.heard(now);
+            self.health.liveness.record_response(now);
         }
         if let Some(reported) = reported_in_flight {
             self.load.report(reported);
--- a/src/collections/liveness.rs
+++ b/src/collections/liveness.rs
@@ -17,7 +17,7 @@
     }
 
     /// The peer has responded: earlier unanswered checks count no more.
-    pub(crate) fn heard(&mut self, now: Time) {
+    pub(crate) fn record_response(&mut self, now: Time) {
         self.last_heard = now;
         self.unanswered_checks = 0;
     }
@@ -32,7 +32,7 @@
         self.is_checked = false;
         self.unanswered_checks += 1;
         if is_answered {
-            self.heard(now);
+            self.record_response(now);
         }
         self.unanswered_checks
     }
--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -75,6 +75,6 @@
     assert_eq!(liveness.end_check(true, Time(30)), 0);
     assert_eq!(liveness.last_heard(), Time(30));
     assert_eq!(liveness.end_check(false, Time(40)), 1);
-    liveness.heard(Time(50));
+    liveness.record_response(Time(50));
     assert_eq!(liveness.end_check(false, Time(60)), 1);
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -58,7 +58,7 @@
         let is_alive = status == HealthCheckStatus::Alive;
         let unanswered = worker.health.liveness.end_check(is_alive, self.now);
         if unanswered >= MAX_UNANSWERED_CHECKS {
-            worker.health.liveness.heard(self.now);
+            worker.health.liveness.record_response(self.now);
             worker.eject(self.now);
             self.cancel_attempts(id);
         }
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -106,7 +106,7 @@
 impl Worker {
     fn load_finished(&mut self, load: &LoadOutcome, now: Time, keep_alive: Span) {
         if load.status.is_response() {
-            self.health.liveness.heard(now);
+            self.health.liveness.record_response(now);
         }
         let instance = self.instance_mut(load.function);
         if !instance.end_load() {
