--- a/src/cluster/endpoints.rs
+++ b/src/cluster/endpoints.rs
@@ -74,9 +74,11 @@
     }
 
     /// When any of the workers that `counts` selects last responded.
-    pub(crate) fn last_heard(&self, counts: impl Fn(&Worker) -> bool) -> Option<Time> {
+    pub(crate) fn last_response_at(&self, counts: impl Fn(&Worker) -> bool) -> Option<Time> {
         let workers = self.workers.values().filter(|worker| counts(worker));
-        workers.map(|worker| worker.health.liveness.last_heard()).max()
+        workers
+            .map(|worker| worker.health.liveness.last_response_at())
+            .max()
     }
 
     /// The worker process that an attempt was sent to, while it is listed.
--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -70,20 +70,20 @@
         (worker.load.in_flight(), worker.instance(FUNCTION).in_flight),
         (0, 0)
     );
-    assert_eq!(worker.health.liveness.last_heard(), Time(0));
+    assert_eq!(worker.health.liveness.last_response_at(), Time(0));
     worker.end_attempt(&attempt, AttemptStatus::Miss, Some(5.0), Time(40));
     assert!(
         !worker.end_attempt(&attempt, AttemptStatus::Timeout, None, Time(50)),
         "it was heard at 40"
     );
-    assert_eq!(worker.health.liveness.last_heard(), Time(40));
+    assert_eq!(worker.health.liveness.last_response_at(), Time(40));
     assert_eq!(worker.load.total_in_flight(), 5.0);
     assert_eq!(
-        cluster.last_heard(|worker| worker.endpoint.zone == ZoneId(1)),
+        cluster.last_response_at(|worker| worker.endpoint.zone == ZoneId(1)),
         Some(Time(40))
     );
     assert_eq!(
-        cluster.last_heard(|worker| worker.endpoint.zone == ZoneId(9)),
+        cluster.last_response_at(|worker| worker.endpoint.zone == ZoneId(9)),
         None
     );
 }
--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -102,7 +102,7 @@
         reported_in_flight: Option<f64>,
         now: Time,
     ) -> bool {
-        let was_silent = self.health.liveness.last_heard() < attempt.sent_at;
+        let was_silent = self.health.liveness.last_response_at() < attempt.sent_at;
         if status.is_response() {
             self.health.liveness.record_response(now);
         }
--- a/src/collections/liveness.rs
+++ b/src/collections/liveness.rs
@@ -5,20 +5,20 @@
 /// When a peer last responded, and how many health checks in a row it left unanswered.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Liveness {
-    last_heard: Time,
+    last_response_at: Time,
     is_checked: bool,
     unanswered_checks: u32,
 }
 
 impl Liveness {
     /// When the peer last responded.
-    pub(crate) fn last_heard(&self) -> Time {
-        self.last_heard
+    pub(crate) fn last_response_at(&self) -> Time {
+        self.last_response_at
     }
 
     /// The peer has responded: earlier unanswered checks count no more.
     pub(crate) fn record_response(&mut self, now: Time) {
-        self.last_heard = now;
+        self.last_response_at = now;
         self.unanswered_checks = 0;
     }
 
--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -71,9 +71,9 @@
     assert_eq!(liveness.end_check(false, Time(10)), 1);
     assert!(liveness.begin_check(), "the check has ended");
     assert_eq!(liveness.end_check(false, Time(20)), 2);
-    assert_eq!(liveness.last_heard(), Time(0));
+    assert_eq!(liveness.last_response_at(), Time(0));
     assert_eq!(liveness.end_check(true, Time(30)), 0);
-    assert_eq!(liveness.last_heard(), Time(30));
+    assert_eq!(liveness.last_response_at(), Time(30));
     assert_eq!(liveness.end_check(false, Time(40)), 1);
     liveness.record_response(Time(50));
     assert_eq!(liveness.end_check(false, Time(60)), 1);
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -42,7 +42,7 @@
         for attempt in self.cluster.attempts_in_flight() {
             let worker = self.cluster.process_of(&attempt);
             let Some(worker) = worker else { continue };
-            let silent_since = attempt.sent_at.max(worker.health.liveness.last_heard());
+            let silent_since = attempt.sent_at.max(worker.health.liveness.last_response_at());
             let is_silent = self.now - silent_since >= HEALTH_CHECK_AFTER;
             if is_silent && worker.health.liveness.begin_check() {
                 let worker = attempt.endpoint.worker;
@@ -78,8 +78,12 @@
     /// Whether a zone has not responded to several attempts for a fraction of their objective, while another
     /// zone has responded since. Once all of it has been ejected, one attempt is enough.
     fn is_zone_unreachable(&self, zone: ZoneId) -> bool {
-        let inside = self.cluster.last_heard(|worker| worker.endpoint.zone == zone);
-        let outside = self.cluster.last_heard(|worker| worker.endpoint.zone != zone);
+        let inside = self
+            .cluster
+            .last_response_at(|worker| worker.endpoint.zone == zone);
+        let outside = self
+            .cluster
+            .last_response_at(|worker| worker.endpoint.zone != zone);
         let attempts = self.cluster.attempts.values().filter(|attempt| {
             let is_old =
                 self.now - attempt.sent_at > attempt.latency_objective.mul_f64(ZONE_SILENCE_FRACTION);
