--- a/src/collections/liveness.rs
+++ b/src/collections/liveness.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Liveness {
     last_response_at: Time,
-    is_checked: bool,
+    check_pending: bool,
     unanswered_checks: u32,
 }
 
@@ -24,12 +24,12 @@
 
     /// A check begins; returns whether it may, as none is under way.
     pub(crate) fn begin_check(&mut self) -> bool {
-        !std::mem::replace(&mut self.is_checked, true)
+        !std::mem::replace(&mut self.check_pending, true)
     }
 
     /// The check has ended; returns how many in a row have not been answered.
     pub(crate) fn end_check(&mut self, is_answered: bool, now: Time) -> u32 {
-        self.is_checked = false;
+        self.check_pending = false;
         self.unanswered_checks += 1;
         if is_answered {
             self.record_response(now);
