--- a/src/cluster/request.rs
+++ b/src/cluster/request.rs
@@ -25,7 +25,7 @@
     begun: u16,
     /// Those that never left this process.
     unsent: u16,
-    unsent_in_row: u16,
+    consecutive_unsent: u16,
     in_flight: Option<u16>,
     first_run: Option<Attempt>,
 }
@@ -90,7 +90,7 @@
             failed_workers: Vec::new(),
             begun: 0,
             unsent: 0,
-            unsent_in_row: 0,
+            consecutive_unsent: 0,
             in_flight: None,
             first_run: None,
         }
@@ -102,8 +102,8 @@
     }
 
     /// Attempts in a row, the last one among them, that never left this process.
-    pub(crate) fn unsent_in_row(&self) -> u16 {
-        self.unsent_in_row
+    pub(crate) fn consecutive_unsent(&self) -> u16 {
+        self.consecutive_unsent
     }
 
     /// The number of the attempt in flight.
@@ -137,9 +137,9 @@
         }
         if status == AttemptStatus::NotSent {
             self.unsent += 1;
-            self.unsent_in_row += 1;
+            self.consecutive_unsent += 1;
         } else {
-            self.unsent_in_row = 0;
+            self.consecutive_unsent = 0;
         }
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -61,7 +61,7 @@
         }
         let first_run = request.first_run();
         // What this process has run out of for a moment is not there at once either.
-        let is_out_of_resources = request.unsent_in_row() > 1;
+        let is_out_of_resources = request.consecutive_unsent() > 1;
         let is_over = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
         if outcome.status == AttemptStatus::Miss {
             self.load_missing_instance(&attempt);
