--- a/src/cluster/instance.rs
+++ b/src/cluster/instance.rs
@@ -37,14 +37,14 @@
     }
 
     /// Whether no load order is under way or backed off.
-    pub(crate) fn is_free_to_order(&self, now: Time) -> bool {
+    pub(crate) fn can_order_load(&self, now: Time) -> bool {
         self.ordered_at.is_none() && !self.load_backoff.is_active(now)
     }
 
     /// Whether its state differs from that of a new one, where an idle instance stays loaded for
     /// `keep_alive`.
     pub(crate) fn is_relevant(&self, now: Time, keep_alive: Span) -> bool {
-        self.in_flight > 0 || !self.is_free_to_order(now) || now - self.loaded_until < keep_alive
+        self.in_flight > 0 || !self.can_order_load(now) || now - self.loaded_until < keep_alive
     }
 
     /// It was seen loaded, and stays so until then.
--- a/src/cluster/tests/instances.rs
+++ b/src/cluster/tests/instances.rs
@@ -34,9 +34,9 @@
     let worker = cluster.workers.get_mut(&WorkerId(1)).expect("a listed worker");
     assert_eq!(worker.ordered_loads(Time(100)), 1);
     let instance = worker.instance_mut(FUNCTION);
-    assert!(!instance.is_free_to_order(Time(100)));
+    assert!(!instance.can_order_load(Time(100)));
     assert!(instance.end_load() && !instance.end_load());
-    assert!(instance.is_free_to_order(Time(100)));
+    assert!(instance.can_order_load(Time(100)));
     instance.fail_load(Time(100), ExponentialBackoff::new(Span(20), 3));
-    assert!(!instance.is_free_to_order(Time(119)) && instance.is_free_to_order(Time(120)));
+    assert!(!instance.can_order_load(Time(119)) && instance.can_order_load(Time(120)));
 }
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -66,7 +66,7 @@
         self.settings.permissions.may_order
             && self.is_available(worker)
             && (instance.is_loaded(self.now) || worker.ordered_loads(self.now) < max_loads)
-            && instance.is_free_to_order(self.now)
+            && instance.can_order_load(self.now)
             && self.load_rate_allows()
     }
 
