--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -36,7 +36,7 @@
     let mut cluster = cluster();
     send(&mut cluster, 1, 1, Time(20));
     send(&mut cluster, 2, 1, Time(21));
-    assert!(cluster.idle_request(RequestId(1)).is_none());
+    assert!(cluster.request_without_attempt(RequestId(1)).is_none());
     cluster.requests.remove(&RequestId(1));
     let awaited = cluster.attempts_on(WorkerId(1));
     assert_eq!(awaited.len(), 1, "nobody waits for the other");
@@ -123,7 +123,10 @@
     let mut cluster = cluster();
     cluster.add_request(&incoming(1), SECOND, Time(20));
     cluster.add_request(&incoming(2), SECOND, Time(20));
-    cluster.idle_request(RequestId(2)).expect("a request").awaits_load = true;
+    cluster
+        .request_without_attempt(RequestId(2))
+        .expect("a request")
+        .awaits_load = true;
     assert_eq!(cluster.requests_awaiting(FUNCTION), [RequestId(2)]);
     assert!(cluster.requests_awaiting(FunctionId(1)).is_empty());
 }
--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -15,7 +15,7 @@
     }
 
     /// A request without an attempt in flight.
-    pub(crate) fn idle_request(&mut self, id: RequestId) -> Option<&mut Request> {
+    pub(crate) fn request_without_attempt(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests
             .get_mut(&id)
             .filter(|request| request.in_flight().is_none())
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -55,7 +55,7 @@
     /// Places a request that need not wait to renew a lease.
     pub(super) fn place_now(&mut self, id: RequestId) {
         let tie_break = self.rng.next_u64();
-        let request = self.cluster.idle_request(id);
+        let request = self.cluster.request_without_attempt(id);
         let Some(request) = request else { return };
         request.awaits_load = false;
         if request.attempts() >= self.settings.permissions.max_attempts {
