--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -56,7 +56,7 @@
     ///
     /// Classes keep their places, because requests under way know their class by its place. A class that
     /// `new` lacks stays for these requests, without a name; one that only `new` has is appended.
-    pub fn replaced_by(&self, new: Site) -> Site {
+    pub fn reloaded_with(&self, new: Site) -> Site {
         let mut new_classes = new.named_classes();
         let mut merged: Vec<NamedClass> = Vec::new();
         for old in self.named_classes() {
--- a/src/scheduler/settings.rs
+++ b/src/scheduler/settings.rs
@@ -11,7 +11,7 @@
 
     /// Replaces the site's settings. Open requests go on under the new ones.
     pub fn reconfigure(&mut self, now: Time, site: Site) {
-        self.site = self.site.replaced_by(site);
+        self.site = self.site.reloaded_with(site);
         self.policy.configure(self.site.settings.clone());
         self.run_policy(now);
     }
--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -125,7 +125,7 @@
         let classes: Vec<Value> = names.iter().enumerate().map(class).collect();
         site(&settings_with("classes", json!(classes))).unwrap()
     };
-    let merged = site(&["a", "b"]).replaced_by(site(&["c", "b", ""]));
+    let merged = site(&["a", "b"]).reloaded_with(site(&["c", "b", ""]));
     let places: Vec<_> = ["a", "b", "c", ""].map(|name| merged.class_index(name)).to_vec();
     assert_eq!(places, [None, Some(1), Some(2), Some(3)]);
     let classes = merged.settings.classes.iter();
