--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -37,7 +37,7 @@
 const ERROR_RATE: ThresholdBounds = ThresholdBounds {
     sample_weight: 0.2,
     threshold: 0.4,
-    restart: 0.25,
+    reset_value: 0.25,
     recovered: 0.125,
 };
 /// A worker's latency as a ratio to its class's baseline.
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -101,7 +101,7 @@
     let bounds = ThresholdBounds {
         sample_weight: 0.5,
         threshold: 0.7,
-        restart: 0.25,
+        reset_value: 0.25,
         recovered: 0.125,
     };
     let mut detector = ThresholdDetector::default();
--- a/src/stats/threshold.rs
+++ b/src/stats/threshold.rs
@@ -10,7 +10,7 @@
     /// The average above which the detector trips.
     pub(crate) threshold: f64,
     /// The average from which it starts again once it has tripped.
-    pub(crate) restart: f64,
+    pub(crate) reset_value: f64,
     /// The average up to which the detector counts as recovered.
     pub(crate) recovered: f64,
 }
@@ -27,7 +27,7 @@
         self.average.update(sample, bounds.sample_weight);
         let trips = self.average.value() > bounds.threshold;
         if trips {
-            self.average = DecayingAverage::new(bounds.restart);
+            self.average = DecayingAverage::new(bounds.reset_value);
         }
         trips
     }
