--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -38,7 +38,7 @@
     sample_weight: 0.2,
     threshold: 0.4,
     reset_value: 0.25,
-    recovered: 0.125,
+    recovery_threshold: 0.125,
 };
 /// A worker's latency as a ratio to its class's baseline.
 ///
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -102,7 +102,7 @@
         sample_weight: 0.5,
         threshold: 0.7,
         reset_value: 0.25,
-        recovered: 0.125,
+        recovery_threshold: 0.125,
     };
     let mut detector = ThresholdDetector::default();
     assert!(detector.is_recovered(&bounds));
--- a/src/stats/threshold.rs
+++ b/src/stats/threshold.rs
@@ -12,7 +12,7 @@
     /// The average from which it starts again once it has tripped.
     pub(crate) reset_value: f64,
     /// The average up to which the detector counts as recovered.
-    pub(crate) recovered: f64,
+    pub(crate) recovery_threshold: f64,
 }
 
 /// A moving average, 0 at first, that trips above a threshold and then starts again from a lower value.
@@ -34,6 +34,6 @@
 
     /// Whether the average is low enough to count as recovered.
     pub(crate) fn is_recovered(&self, bounds: &ThresholdBounds) -> bool {
-        self.average.value() <= bounds.recovered
+        self.average.value() <= bounds.recovery_threshold
     }
 }
