--- a/src/cluster/endpoints.rs
+++ b/src/cluster/endpoints.rs
@@ -43,18 +43,18 @@
 
     /// Workers in the order in which all schedulers try them for a function.
     pub(crate) fn hash_order(&mut self, function: FunctionId) -> Vec<WorkerId> {
-        let places = self.hash_order_indices(function);
+        let indices = self.hash_order_indices(function);
         let workers: Vec<WorkerId> = self.workers.keys().copied().collect();
-        places.iter().map(|place| workers[*place]).collect()
+        indices.iter().map(|index| workers[*index]).collect()
     }
 
-    /// The same order, by the places of the workers among [`Cluster::workers`]. Fleets are large, and each request goes
+    /// The same order, by the indices of the workers among [`Cluster::workers`]. Fleets are large, and each request goes
     /// by its function's order: it is shared, and needs no look-up by id.
     pub(crate) fn hash_order_indices(&mut self, function: FunctionId) -> Rc<[usize]> {
-        let nodes = self.workers.iter().enumerate().map(|(place, (id, worker))| {
+        let nodes = self.workers.iter().enumerate().map(|(index, (id, worker))| {
             let weight = worker.endpoint.weight.clamp(MIN_WEIGHT, MAX_WEIGHT);
             RendezvousNode {
-                node: place,
+                node: index,
                 hash_input: id.0,
                 weight: if self.hashes_by_weight { weight } else { 1.0 },
             }
