--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -38,7 +38,7 @@
     }
 
     /// Has every request that is still to come end by this time, and those that come later rejected.
-    pub fn end_requests_by(&mut self, ends_at: Time) {
+    pub fn set_shutdown_deadline(&mut self, ends_at: Time) {
         self.shutdown_deadline = Some(ends_at);
     }
 
--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -59,7 +59,7 @@
     fn limit_late_requests(&mut self) {
         if let Some(shutdown) = &self.shutdown {
             let ends_at = shutdown.late_requests_end();
-            self.reactor.shared.scheduler.end_requests_by(ends_at);
+            self.reactor.shared.scheduler.set_shutdown_deadline(ends_at);
         }
     }
 
