--- a/src/frontend/session.rs
+++ b/src/frontend/session.rs
@@ -82,7 +82,7 @@
         let unanswered = std::mem::take(&mut self.open_requests);
         if !cause.is_remote() {
             for stream in unanswered.keys() {
-                let violation = Violation::UnansweredClose(origin(socket, *stream));
+                let violation = Violation::ClosedWithOpenRequest(origin(socket, *stream));
                 context.shared.scheduler.record_violation(context.now, violation);
             }
         }
--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -22,7 +22,7 @@
 pub enum Violation {
     /// A connection was closed by this process with a request open on it.
     #[error("closed with a request open")]
-    UnansweredClose(RequestOrigin),
+    ClosedWithOpenRequest(RequestOrigin),
     /// A final response was given too late.
     #[error("final response too late")]
     LateResponse(RequestId),
@@ -42,7 +42,7 @@
     fn log(self) {
         let kind = self.to_string();
         match self {
-            Violation::UnansweredClose(origin) => {
+            Violation::ClosedWithOpenRequest(origin) => {
                 let RequestOrigin { connection, stream } = origin;
                 error!(kind, connection = connection.0, stream = stream.0, "violation");
             }
