--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -201,7 +201,7 @@
 
 /// Responds to a request that is not passed to the scheduler.
 fn respond_locally(stream: u32, outcome: &Outcome, socket: &mut BufferedStream, context: &mut Context) {
-    context.shared.scheduler.count_local_rejection(outcome);
+    context.shared.scheduler.count_frontend_response(outcome);
     socket.enqueue(&encode_response(stream, outcome));
 }
 
--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -188,7 +188,7 @@
     fn reject_call(&mut self, call: &OpenCall, socket: &mut BufferedStream, context: &mut Context) {
         let retry_after = context.shared.scheduler.default_retry_after();
         let outcome = Outcome::Rejected { retry_after };
-        context.shared.scheduler.count_local_rejection(&outcome);
+        context.shared.scheduler.count_frontend_response(&outcome);
         let response = Response {
             outcome,
             expired: false,
--- a/src/scheduler/final_response.rs
+++ b/src/scheduler/final_response.rs
@@ -16,7 +16,7 @@
     }
 
     /// Counts a request that its frontend has answered by itself because it could not be submitted.
-    pub fn count_local_rejection(&mut self, outcome: &Outcome) {
+    pub fn count_frontend_response(&mut self, outcome: &Outcome) {
         self.counters.count_frontend_response(outcome);
     }
 
