--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -12,7 +12,7 @@
     pub fn submit(&mut self, now: Time, request: ClientRequest) {
         self.counters.requests_received += 1;
         self.load_rate_limiter.record_request(now);
-        let request = self.bound_by_shutdown(request);
+        let request = self.clamp_to_shutdown_deadline(request);
         match self.check_admission(now, &request) {
             Ok(class) => self.accept(now, request, class),
             Err(denied) => {
@@ -43,7 +43,7 @@
     }
 
     /// A request with its deadline moved to the end of the process, if that comes before it.
-    fn bound_by_shutdown(&self, mut request: ClientRequest) -> ClientRequest {
+    fn clamp_to_shutdown_deadline(&self, mut request: ClientRequest) -> ClientRequest {
         if let Some(shutdown_deadline) = self.shutdown_deadline {
             request.parameters.deadline = request.parameters.deadline.min(shutdown_deadline);
         }
