--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -78,7 +78,7 @@
     }
 
     /// Records why a request is rejected.
-    pub(super) fn note_rejection(&mut self, id: RequestId, cause: RejectionCause) {
+    pub(super) fn record_rejection(&mut self, id: RequestId, cause: RejectionCause) {
         if cause == RejectionCause::NoConfirmedWorker {
             self.counters.requests_rejected_unconfirmed += 1;
         }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -215,7 +215,7 @@
                 retry_after,
                 cause,
             } => {
-                self.note_rejection(id, cause);
+                self.record_rejection(id, cause);
                 self.finish_request(now, id, Outcome::Rejected { retry_after });
             }
             Action::Fail { id } => self.finish_request(now, id, Outcome::Failed),
