--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -77,13 +77,13 @@
 
     /// Checks an attempt at the moment at which its last byte has been handed to the operating system.
     pub(super) fn check_written(&mut self, now: Time, id: AttemptId) {
-        if let Some(violation) = self.violation_of_write(now, id) {
+        if let Some(violation) = self.find_write_violation(now, id) {
             self.record_violation(now, violation);
         }
     }
 
     /// What is wrong with an attempt whose last byte has been written, if anything is.
-    fn violation_of_write(&self, now: Time, id: AttemptId) -> Option<Violation> {
+    fn find_write_violation(&self, now: Time, id: AttemptId) -> Option<Violation> {
         let Some(attempt) = self.attempts.get(id) else {
             return Some(Violation::WrittenAfterEnd(id));
         };
