--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -77,10 +77,10 @@
         let (Some(attempt), Some(request)) = (self.attempts.get(id), self.requests.get(id.request)) else {
             return false;
         };
-        let is_fresh = attempt
+        let within_write_time = attempt
             .write_began_at
             .is_none_or(|began_at| now - began_at <= MAX_WRITE_TIME);
-        is_fresh && now < attempt.deadline && check_retry(now, request).is_ok()
+        within_write_time && now < attempt.deadline && check_retry(now, request).is_ok()
     }
 
     /// Whether a load order may still be written at `now`; if so, it counts as written.
