--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -118,8 +118,11 @@
             return;
         };
         let workers = expired.iter().map(|lease| lease.worker).collect();
-        let known = std::mem::replace(&mut report.expired, workers);
-        for lease in expired.iter().filter(|lease| !known.contains(&lease.worker)) {
+        let previously_expired = std::mem::replace(&mut report.expired, workers);
+        for lease in expired
+            .iter()
+            .filter(|lease| !previously_expired.contains(&lease.worker))
+        {
             self.counters.worker_leases_expired += 1;
             self.log_expired_lease(now, lease);
         }
