--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -71,7 +71,7 @@
 }
 
 /// Hands all commands to the pool; the attempt among them.
-fn carry_out_commands(pool: &mut Pool, reactor: &mut Reactor) -> AttemptId {
+fn execute_commands(pool: &mut Pool, reactor: &mut Reactor) -> AttemptId {
     let mut sent = None;
     while let Some(command) = reactor.shared.scheduler.next_command() {
         if let Command::Send { attempt, .. } = command {
@@ -96,7 +96,7 @@
             .shared
             .scheduler
             .submit(now, client_request(n, FunctionId(9), now));
-        let attempt = carry_out_commands(&mut pool, &mut reactor);
+        let attempt = execute_commands(&mut pool, &mut reactor);
         // The first stays in flight for good.
         let scheduler = &mut reactor.shared.scheduler;
         if n > 0 {
@@ -192,7 +192,7 @@
     request.parameters.body = vec![b'x'; MORE_THAN_THE_SYSTEM_TAKES];
     let origin = request.origin;
     reactor.shared.scheduler.submit(reactor.now(), request);
-    carry_out_commands(&mut pool, &mut reactor);
+    execute_commands(&mut pool, &mut reactor);
     let mut connection = worker.accept();
     while !reactor.has_unsent_output() {
         poll_briefly(&mut reactor);
