--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -183,13 +183,13 @@
 /// nobody has any more, and a keyed one possibly outside its deduplication window.
 #[test]
 fn an_attempt_whose_client_left_is_not_completed_once_its_worker_reads_on() {
-    const MORE_THAN_THE_SYSTEM_TAKES: usize = 16 << 20;
+    const BODY_LARGER_THAN_SOCKET_BUFFERS: usize = 16 << 20;
     let worker = RawWorker::new();
     let mut reactor = reactor_with_one_worker();
     let mut pool = Pool::new(unlimited());
     pool.set_address(WORKER, WorkerAddress::NodeAgent(worker.address()), None);
     let mut request = client_request(1, FunctionId(9), reactor.now());
-    request.parameters.body = vec![b'x'; MORE_THAN_THE_SYSTEM_TAKES];
+    request.parameters.body = vec![b'x'; BODY_LARGER_THAN_SOCKET_BUFFERS];
     let origin = request.origin;
     reactor.shared.scheduler.submit(reactor.now(), request);
     execute_commands(&mut pool, &mut reactor);
