--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -150,7 +150,7 @@
 /// Load orders go out without a rate limit, and a new configuration brings one: those of its window count, and those
 /// of long ago are not kept for that day.
 #[test]
-fn load_orders_before_a_rate_limit_count_and_are_not_kept_for_ever() {
+fn load_orders_written_before_a_rate_limit_count_and_expire() {
     const REQUESTS_BEFORE: u64 = 2_000;
     let mut settings = default_settings();
     settings["familyInfo"]["notLoaded"] = json!("miss");
