--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -182,7 +182,7 @@
 /// on, the rest of that attempt must not go out: it would begin long after its client has left, with a time limit that
 /// nobody has any more, and a keyed one possibly outside its deduplication window.
 #[test]
-fn an_attempt_whose_client_left_is_not_completed_once_its_worker_reads_on() {
+fn a_partial_write_is_not_completed_after_its_client_left() {
     const BODY_LARGER_THAN_SOCKET_BUFFERS: usize = 16 << 20;
     let worker = RawWorker::new();
     let mut reactor = reactor_with_one_worker();
