--- a/src/scheduler/tests/invariants.rs
+++ b/src/scheduler/tests/invariants.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_is_in_order_is_no_violation() {
+fn a_normal_attempt_causes_no_violation() {
     let mut scheduler = test_scheduler();
     let sent = sent_attempt(&submit(&mut scheduler, 1, NON_IDEMPOTENT_CLASS)).id;
     assert!(scheduler.admits_write(at_millis(1), sent));
