--- a/src/scheduler/tests/log_lines.rs
+++ b/src/scheduler/tests/log_lines.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_denied_is_logged_with_its_cause() {
+fn denied_requests_and_writes_are_logged_with_their_cause() {
     let mut scheduler = test_scheduler();
     let log = captured_log(|| {
         submit(&mut scheduler, 5, "no such class");
