--- a/src/scheduler/tests/timers.rs
+++ b/src/scheduler/tests/timers.rs
@@ -65,7 +65,7 @@
 
 /// Timers left behind would keep the event loop awake for nothing.
 #[test]
-fn what_has_ended_leaves_no_timer_behind() {
+fn ended_commands_leave_no_timer_behind() {
     let mut scheduler = test_scheduler();
     let sent = sent_attempt(&submit(&mut scheduler, 1, IDEMPOTENT_CLASS));
     let order = start_load_order(&mut scheduler, at_millis(0));
