--- a/src/scheduler/tests/final_response.rs
+++ b/src/scheduler/tests/final_response.rs
@@ -4,7 +4,7 @@
 
 /// Nothing that goes wrong in the policy may leave a request without a final response.
 #[test]
-fn a_request_that_the_policy_has_lost_is_failed_after_its_deadline() {
+fn a_request_that_the_policy_never_ends_fails_after_its_deadline() {
     let mut scheduler = test_scheduler();
     submit(&mut scheduler, 1, IDEMPOTENT_CLASS);
     scheduler.policy = Policy::new(scheduler.site.settings.clone(), 1);
