--- a/src/scheduler/tests/final_response.rs
+++ b/src/scheduler/tests/final_response.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_request_of_an_unknown_class_has_failed_at_once() {
+fn a_request_of_an_unknown_class_fails_at_once() {
     let mut scheduler = test_scheduler();
     let commands = submit(&mut scheduler, 2, "no such class");
     let is_failure = |response: &Response| response.outcome == Outcome::Failed;
