--- a/src/scheduler/tests/log_lines.rs
+++ b/src/scheduler/tests/log_lines.rs
@@ -4,7 +4,7 @@
 use crate::logging::tests::capture::captured_log;
 
 #[test]
-fn a_request_can_be_followed_by_its_lines() {
+fn log_lines_trace_a_request_to_its_response() {
     let mut scheduler = test_scheduler();
     let mut worker = WorkerId(0);
     let log = captured_log(|| {
