--- a/src/scheduler/tests/attempts.rs
+++ b/src/scheduler/tests/attempts.rs
@@ -45,7 +45,7 @@
 /// An attempt that the scheduler itself held back says nothing of the worker. The policy must not take the
 /// worker for one that refuses connections, to which nothing is sent for a while.
 #[test]
-fn an_attempt_that_was_not_sent_is_not_held_against_its_worker() {
+fn an_attempt_that_was_not_sent_does_not_penalize_its_worker() {
     let mut scheduler = test_scheduler();
     let first = sent_attempt(&submit(&mut scheduler, 1, IDEMPOTENT_CLASS));
     scheduler.attempt_not_sent(at_millis(1), first.id);
