--- a/src/scheduler/tests/write_admission.rs
+++ b/src/scheduler/tests/write_admission.rs
@@ -141,7 +141,7 @@
 /// Two attempts may be written in the same instant, by a clock that stands still. The one that never ran takes back its
 /// own write, and not that of the other, which may have run.
 #[test]
-fn an_attempt_that_never_ran_takes_back_no_other_write() {
+fn an_attempt_that_never_ran_retracts_only_its_own_write() {
     let mut scheduler = test_scheduler();
     let instant = at_millis(1);
     let may_have_run = sent_attempt(&submit(&mut scheduler, 1, KEYED_CLASS)).id;
