--- a/src/scheduler/tests/recent_functions.rs
+++ b/src/scheduler/tests/recent_functions.rs
@@ -20,7 +20,7 @@
 
 /// Clients may name ever new functions.
 #[test]
-fn a_full_generation_makes_room_for_the_next() {
+fn a_full_generation_is_replaced_early() {
     const CAPACITY: u64 = 1 << 14;
     let mut functions = RecentFunctions::default();
     for n in 0..=2 * CAPACITY {
