--- a/src/scheduler/tests/request_admission.rs
+++ b/src/scheduler/tests/request_admission.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn requests_are_denied_for_a_reason() {
+fn each_failed_check_has_its_denial_reason() {
     let unknown_class = denied(|_| {}, |request| request.parameters.class = "none".into());
     assert_eq!(unknown_class, RequestDenied::UnknownClass);
     let duplicate = denied(|_| {}, |request| request.correlation_id = format!("{:016x}", 1));
