--- a/src/scheduler/tests/request_admission.rs
+++ b/src/scheduler/tests/request_admission.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn each_reason_has_its_response() {
+fn each_denial_reason_has_its_response() {
     let retry_after = Span::from_millis(40);
     let rejected = Outcome::Rejected { retry_after };
     let cases = [
