--- a/src/backend/codec.rs
+++ b/src/backend/codec.rs
@@ -112,7 +112,7 @@
     NotAnObject,
     /// A JSON-RPC message has no id, or one of a type that the scheduler never uses.
     #[error("no id of ours")]
-    ForeignId,
+    InvalidId,
     /// A JSON-RPC message does not name version 2.0.
     #[error("not JSON-RPC 2.0")]
     WrongVersion,
--- a/src/backend/jsonrpc_codec.rs
+++ b/src/backend/jsonrpc_codec.rs
@@ -145,7 +145,7 @@
         let message = parse_object(line).map_err(DecodeError::without_correlation_id)?;
         // The scheduler gives all its requests ids that are text.
         let Some(Value::String(correlation_id)) = message.get("id") else {
-            return Err(DecodeError::without_correlation_id(DecodeErrorKind::ForeignId));
+            return Err(DecodeError::without_correlation_id(DecodeErrorKind::InvalidId));
         };
         interpret(&message, correlation_id).map_err(|kind| DecodeError::in_response_to(correlation_id, kind))
     }
--- a/src/backend/tests/jsonrpc_codec.rs
+++ b/src/backend/tests/jsonrpc_codec.rs
@@ -159,7 +159,7 @@
             ),
             (
                 r#"{"jsonrpc":"2.0","id":1,"result":{"body":""}}"#,
-                decode_error(None, DecodeErrorKind::ForeignId),
+                decode_error(None, DecodeErrorKind::InvalidId),
             ),
             ("[1]", decode_error(None, DecodeErrorKind::NotAnObject)),
             ("{", decode_error(None, DecodeErrorKind::NotJson)),
