--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -133,7 +133,7 @@
         correlation_id: Option<&str>,
         reactor: &mut Reactor,
     ) -> Option<ConnectionId> {
-        let max_spread = self.max_spread();
+        let target_connections = self.target_connections();
         let descriptors_left = self.has_descriptors_left(reactor);
         let entry = self.workers.get_mut(&worker)?;
         entry
@@ -143,7 +143,7 @@
             // Load orders and health checks share the connections that there are.
             let may_share =
                 correlation_id.is_none() || candidate.attempts_in_flight < ATTEMPTS_BEFORE_NEW_CONNECTION;
-            let may_open = entry.connections.len() < max_spread && descriptors_left;
+            let may_open = entry.connections.len() < target_connections && descriptors_left;
             if may_share || !may_open {
                 return Some(candidate.connection);
             }
@@ -177,7 +177,7 @@
 
     /// Connections to one worker that requests are spread over. Clients may take a third of the descriptors;
     /// the rest is shared equally by all workers.
-    fn max_spread(&self) -> usize {
+    fn target_connections(&self) -> usize {
         let limits = self.limits.get();
         let share_of_descriptors = limits.max_connections * 2 / 3 / self.workers.len().max(1);
         let share_of_worker = SHARED_CONNECTIONS_PER_WORKER / limits.schedulers.max(1);
