--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -44,7 +44,7 @@
 pub struct Pool {
     workers: BTreeMap<WorkerId, WorkerEntry>,
     /// The connection of every attempt in flight, and of some that have ended.
-    routes: HashMap<AttemptId, ConnectionId>,
+    attempt_connections: HashMap<AttemptId, ConnectionId>,
     node_agent_codec: Rc<dyn Codec>,
     jsonrpc_codec: Rc<dyn Codec>,
     /// Shared with all connections.
@@ -56,7 +56,7 @@
     pub fn new(limits: Limits) -> Pool {
         Pool {
             workers: BTreeMap::new(),
-            routes: HashMap::new(),
+            attempt_connections: HashMap::new(),
             node_agent_codec: Rc::new(NodeAgentCodec),
             jsonrpc_codec: Rc::new(JsonRpcCodec),
             limits: Rc::new(Cell::new(limits)),
@@ -104,7 +104,7 @@
         };
         match command {
             WorkerCommand::Cancel { attempt } => {
-                if let Some(connection) = self.routes.remove(&attempt) {
+                if let Some(connection) = self.attempt_connections.remove(&attempt) {
                     submit_to(connection, command, reactor);
                 }
             }
@@ -119,7 +119,7 @@
             return report_not_sent(&command, reactor.now(), &mut reactor.shared.scheduler);
         };
         if let WorkerCommand::Send { attempt, .. } = &command {
-            self.routes.insert(*attempt, connection);
+            self.attempt_connections.insert(*attempt, connection);
         }
         submit_to(connection, command, reactor);
     }
@@ -204,17 +204,18 @@
         Some(connection)
     }
 
-    /// Drops the routes of ended attempts whenever they are the greater part. To be called when no command is
+    /// Drops the attempt_connections of ended attempts whenever they are the greater part. To be called when no command is
     /// pending: the cancellation of an attempt comes after its end.
     pub fn forget_ended(&mut self, scheduler: &Scheduler) {
-        if self.routes.len() > SPARE_ROUTES + 2 * scheduler.attempts_in_flight() {
-            self.routes.retain(|attempt, _| scheduler.is_in_flight(*attempt));
+        if self.attempt_connections.len() > SPARE_ROUTES + 2 * scheduler.attempts_in_flight() {
+            self.attempt_connections
+                .retain(|attempt, _| scheduler.is_in_flight(*attempt));
         }
     }
 
     /// Number of attempts whose connection is remembered.
     pub fn routes_remembered(&self) -> usize {
-        self.routes.len()
+        self.attempt_connections.len()
     }
 }
 
