--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -25,7 +25,7 @@
 /// cannot be decoded, or a reset, ends everything that is open on its connection.
 const ATTEMPTS_BEFORE_NEW_CONNECTION: usize = 1;
 /// Routes kept beyond two for each attempt in flight before those of ended attempts are dropped.
-const SPARE_ROUTES: usize = 256;
+const CLEANUP_MARGIN: usize = 256;
 
 /// A worker process in the endpoint list.
 struct WorkerEntry {
@@ -207,7 +207,7 @@
     /// Drops the attempt_connections of ended attempts whenever they are the greater part. To be called when no command is
     /// pending: the cancellation of an attempt comes after its end.
     pub fn forget_ended(&mut self, scheduler: &Scheduler) {
-        if self.attempt_connections.len() > SPARE_ROUTES + 2 * scheduler.attempts_in_flight() {
+        if self.attempt_connections.len() > CLEANUP_MARGIN + 2 * scheduler.attempts_in_flight() {
             self.attempt_connections
                 .retain(|attempt, _| scheduler.is_in_flight(*attempt));
         }
