--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -20,7 +20,7 @@
 /// Connections to one worker that all schedulers together spread requests over. How many a worker accepts is
 /// not known in advance, and one that has no more descriptors refuses each further connection with the
 /// request on it.
-const SHARED_CONNECTIONS_PER_WORKER: usize = 48;
+const FLEET_CONNECTIONS_PER_WORKER: usize = 48;
 /// Attempts on a connection from which the next one opens another, while descriptors last. A response that
 /// cannot be decoded, or a reset, ends everything that is open on its connection.
 const ATTEMPTS_BEFORE_NEW_CONNECTION: usize = 1;
@@ -180,7 +180,7 @@
     fn target_connections(&self) -> usize {
         let limits = self.limits.get();
         let share_of_descriptors = limits.max_connections * 2 / 3 / self.workers.len().max(1);
-        let share_of_worker = SHARED_CONNECTIONS_PER_WORKER / limits.schedulers.max(1);
+        let share_of_worker = FLEET_CONNECTIONS_PER_WORKER / limits.schedulers.max(1);
         share_of_descriptors
             .min(share_of_worker)
             .clamp(1, MAX_CONNECTIONS_PER_WORKER)
