--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -214,7 +214,7 @@
     }
 
     /// Number of attempts whose connection is remembered.
-    pub fn routes_remembered(&self) -> usize {
+    pub fn tracked_attempt_count(&self) -> usize {
         self.attempt_connections.len()
     }
 }
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -104,7 +104,7 @@
             while scheduler.next_command().is_some() {}
         }
         pool.forget_ended(scheduler);
-        let remembered = pool.routes_remembered();
+        let remembered = pool.tracked_attempt_count();
         assert!(remembered < 500, "{remembered} of {n} are remembered");
     }
     assert_eq!(reactor.shared.scheduler.attempts_in_flight(), 1);
