--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -206,7 +206,7 @@
 
     /// Drops the attempt_connections of ended attempts whenever they are the greater part. To be called when no command is
     /// pending: the cancellation of an attempt comes after its end.
-    pub fn forget_ended(&mut self, scheduler: &Scheduler) {
+    pub fn remove_ended_attempts(&mut self, scheduler: &Scheduler) {
         if self.attempt_connections.len() > CLEANUP_MARGIN + 2 * scheduler.attempts_in_flight() {
             self.attempt_connections
                 .retain(|attempt, _| scheduler.is_in_flight(*attempt));
--- a/src/client.rs
+++ b/src/client.rs
@@ -203,7 +203,7 @@
                 command => self.pool.command(command, &mut self.reactor),
             }
         }
-        self.pool.forget_ended(&self.reactor.shared.scheduler);
+        self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
     }
 
     /// The name under which workers see a request: 16 hexadecimal digits.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -178,7 +178,7 @@
         while let Some(command) = self.reactor.shared.scheduler.next_command() {
             self.catch_panic("command", |server| server.execute(command));
         }
-        self.pool.forget_ended(&self.reactor.shared.scheduler);
+        self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
     }
 
     /// Does a part of the work. A panic there concerns no connection that could be closed for it; what it leaves
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -103,7 +103,7 @@
             scheduler.attempt_ended(now, attempt, Ok(WorkerResponse::Ok(vec![])));
             while scheduler.next_command().is_some() {}
         }
-        pool.forget_ended(scheduler);
+        pool.remove_ended_attempts(scheduler);
         let remembered = pool.tracked_attempt_count();
         assert!(remembered < 500, "{remembered} of {n} are remembered");
     }
