--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -98,7 +98,7 @@
     }
 
     /// Executes a command of the scheduler, if it is one for a worker.
-    pub fn command(&mut self, command: Command, reactor: &mut Reactor) {
+    pub fn execute(&mut self, command: Command, reactor: &mut Reactor) {
         let Some(AddressedCommand { worker, command }) = AddressedCommand::from_scheduler(command) else {
             return;
         };
--- a/src/client.rs
+++ b/src/client.rs
@@ -200,7 +200,7 @@
                     let request = SubmittedRequestId(origin.stream.0);
                     self.completed.push(CompletedRequest { request, response });
                 }
-                command => self.pool.command(command, &mut self.reactor),
+                command => self.pool.execute(command, &mut self.reactor),
             }
         }
         self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -193,7 +193,7 @@
     fn execute(&mut self, command: Command) {
         match command {
             Command::Respond { origin, response } => frontend::deliver(origin, &response, &mut self.reactor),
-            command => self.pool.command(command, &mut self.reactor),
+            command => self.pool.execute(command, &mut self.reactor),
         }
     }
 }
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -77,7 +77,7 @@
         if let Command::Send { attempt, .. } = command {
             sent = Some(attempt);
         }
-        pool.command(command, reactor);
+        pool.execute(command, reactor);
     }
     sent.expect("the request is sent")
 }
@@ -199,7 +199,7 @@
     }
     reactor.shared.scheduler.cancel(reactor.now(), origin);
     while let Some(command) = reactor.shared.scheduler.next_command() {
-        pool.command(command, &mut reactor);
+        pool.execute(command, &mut reactor);
     }
     let reader = std::thread::spawn(move || connection.complete_requests_until_quiet());
     while !reader.is_finished() {
