--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -87,7 +87,7 @@
     }
 }
 
-fn start(attempt: AttemptId) -> WorkerCommand {
+fn send_command(attempt: AttemptId) -> WorkerCommand {
     WorkerCommand::Send {
         attempt,
         payload: Rc::new(empty_request()),
--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -1,6 +1,6 @@
 //! How far a command had been written when its connection closed.
 
-use super::{attempt, load, start};
+use super::{attempt, load, send_command};
 use crate::backend::correlation::Exchange;
 use crate::backend::worker_command::WorkerCommand;
 use crate::backend::write_queue::{UnfinishedExchange, WriteQueue};
@@ -29,7 +29,7 @@
 #[test]
 fn a_command_that_waits_has_not_been_sent() {
     let mut queue = WriteQueue::default();
-    queue.push(start(FIRST_ATTEMPT));
+    queue.push(send_command(FIRST_ATTEMPT));
     queue.push(load(ORDER));
     queue.push(health_check());
     let exchanges = [
@@ -103,8 +103,8 @@
 #[test]
 fn only_a_waiting_start_can_be_removed() {
     let mut queue = WriteQueue::default();
-    queue.push(start(FIRST_ATTEMPT));
-    queue.push(start(SECOND_ATTEMPT));
+    queue.push(send_command(FIRST_ATTEMPT));
+    queue.push(send_command(SECOND_ATTEMPT));
     assert!(queue.remove_send(SECOND_ATTEMPT));
     assert!(!queue.remove_send(SECOND_ATTEMPT));
     assert!(queue.pop().is_some(), "the first attempt's");
