--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -95,7 +95,7 @@
     }
 }
 
-fn load(order: LoadOrderId) -> WorkerCommand {
+fn load_command(order: LoadOrderId) -> WorkerCommand {
     WorkerCommand::Load {
         order,
         function: FUNCTION,
--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -1,6 +1,6 @@
 //! How far a command had been written when its connection closed.
 
-use super::{attempt, load, send_command};
+use super::{attempt, load_command, send_command};
 use crate::backend::correlation::Exchange;
 use crate::backend::worker_command::WorkerCommand;
 use crate::backend::write_queue::{UnfinishedExchange, WriteQueue};
@@ -30,7 +30,7 @@
 fn a_command_that_waits_has_not_been_sent() {
     let mut queue = WriteQueue::default();
     queue.push(send_command(FIRST_ATTEMPT));
-    queue.push(load(ORDER));
+    queue.push(load_command(ORDER));
     queue.push(health_check());
     let exchanges = [
         Exchange::HealthCheck(CHECK),
@@ -116,7 +116,7 @@
 fn a_queue_is_idle_when_nothing_waits_or_is_being_written() {
     let mut queue = WriteQueue::default();
     assert!(queue.is_idle());
-    queue.push(load(ORDER));
+    queue.push(load_command(ORDER));
     assert!(!queue.is_idle());
     queue.pop();
     queue.begin_write(Exchange::LoadOrder(ORDER));
