--- a/src/backend/tests/connection.rs
+++ b/src/backend/tests/connection.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_connection_that_is_being_established_has_its_own_deadline_alone() {
+fn a_connecting_connection_has_only_its_connect_deadline() {
     let mut phase = Phase::Connecting { deadline: START };
     phase.record_activity(Time(1));
     phase.track_line(PartialMessage::Begun, Time(1));
