--- a/src/backend/tests/connection.rs
+++ b/src/backend/tests/connection.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_health_check_without_a_response_makes_a_connection_unresponsive_until_input_comes() {
+fn an_expired_health_check_makes_a_connection_unresponsive_until_the_next_input() {
     let mut state = outstanding();
     assert_eq!(state.deadline(), Some(START));
     assert_eq!(state.expire(Time(START.0 - 1)), None);
