--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_attempt_of_which_nothing_was_sent_leaves_its_id_unused() {
+fn closing_an_unsent_attempt_frees_its_id() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.close_unsent_attempt(ATTEMPT);
