--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_attempt_that_got_its_response_before_it_was_sent_is_counted_down_once() {
+fn closing_an_attempt_twice_decrements_the_open_count_once() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.open_attempt(NEXT_ATTEMPT, "b");
