--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_keeps_its_id_from_use_until_it_expires() {
+fn the_id_of_a_cancelled_attempt_is_not_reusable_until_it_expires() {
     let mut table = CorrelationTable::default();
     table.open_attempt(ATTEMPT, "a");
     table.cancel_attempt(ATTEMPT, START);
