--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_expiry_of_a_retirement_spares_an_id_that_is_in_use_again() {
+fn expiry_of_an_old_retirement_does_not_free_a_reused_id() {
     let mut table = CorrelationTable::default();
     table.retire("open again".to_owned(), START);
     table.retire("retired again".to_owned(), START);
