--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn the_oldest_retired_id_gives_way_when_there_are_too_many() {
+fn the_oldest_retired_id_is_freed_when_the_limit_is_exceeded() {
     let mut table = CorrelationTable::default();
     for number in 0..=MAX_RETIRED_IDS {
         table.retire(number.to_string(), START);
