--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn only_a_waiting_start_can_be_removed() {
+fn only_a_waiting_send_can_be_removed() {
     let mut queue = WriteQueue::default();
     queue.push(send_command(FIRST_ATTEMPT));
     queue.push(send_command(SECOND_ATTEMPT));
