--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_command_without_unsent_bytes_is_written_also_before_that_is_noted() {
+fn a_command_without_unsent_bytes_is_written_even_before_finish_write() {
     let mut queue = WriteQueue::default();
     let exchange = Exchange::LoadOrder(ORDER);
     queue.begin_write(exchange);
