--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -124,7 +124,7 @@
 
     /// Takes the events that a reloaded configuration holds, as far as they continue what has been received:
     /// the discovery service goes on counting, and a delta is of use only directly after the event before it.
-    pub(crate) fn offer_known(&mut self, known: Vec<WatchEvent>) {
+    pub(crate) fn merge_known_events(&mut self, known: Vec<WatchEvent>) {
         let mut queue = self.queue.borrow_mut();
         for event in known {
             let is_next = queue.last_offset.checked_add(1) == Some(event.offset);
--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -14,7 +14,7 @@
     watch.poll(now);
     let (mut stream, offset) = watch.run_until_accepted(&old);
     assert_eq!(offset, 0);
-    watch.discovery.offer_known(vec![snapshot(5, vec![])]);
+    watch.discovery.merge_known_events(vec![snapshot(5, vec![])]);
     assert!(watch.discovery.set_address(Some(new_address)));
     watch.restart(now);
     assert_eq!(
@@ -46,7 +46,7 @@
 fn waiting_events_survive_an_address_change() {
     let mut watch = Watch::new(None);
     let event = delta(1, vec![record(endpoint(1, EndpointState::Ready), 81)]);
-    watch.discovery.offer_known(vec![event]);
+    watch.discovery.merge_known_events(vec![event]);
     watch.restart(Time(1));
     assert_eq!(watch.discovery.last_offset(), 1);
     assert!(watch.discovery.next_change().is_some());
--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -10,19 +10,19 @@
 fn known_events_are_taken_if_complete_or_next() {
     let mut watch = Watch::new(None);
     let next_change = |watch: &mut Watch| watch.discovery.next_change().is_some();
-    watch.discovery.offer_known(vec![delta(2, vec![])]);
+    watch.discovery.merge_known_events(vec![delta(2, vec![])]);
     assert!(!next_change(&mut watch), "event 1 is missing");
-    watch.discovery.offer_known(vec![snapshot(2, vec![])]);
+    watch.discovery.merge_known_events(vec![snapshot(2, vec![])]);
     assert!(
         next_change(&mut watch),
         "a complete list needs no event before it"
     );
     let repeated = vec![snapshot(1, vec![]), snapshot(2, vec![]), delta(2, vec![])];
-    watch.discovery.offer_known(repeated);
+    watch.discovery.merge_known_events(repeated);
     assert!(!next_change(&mut watch), "received before");
     watch
         .discovery
-        .offer_known(vec![delta(3, vec![]), delta(4, vec![]), delta(6, vec![])]);
+        .merge_known_events(vec![delta(3, vec![]), delta(4, vec![]), delta(6, vec![])]);
     assert_eq!(watch.discovery.last_offset(), 4);
     assert!(next_change(&mut watch) && next_change(&mut watch));
     assert!(!next_change(&mut watch), "event 5 is missing");
@@ -42,7 +42,7 @@
 fn repeated_events_are_dropped() {
     let (listener, address) = listen();
     let mut watch = Watch::new(Some(address));
-    watch.discovery.offer_known(vec![snapshot(5, vec![])]);
+    watch.discovery.merge_known_events(vec![snapshot(5, vec![])]);
     assert!(watch.discovery.next_change().is_some());
     watch.poll(watch.reactor.now());
     let (mut stream, offset) = watch.run_until_accepted(&listener);
--- a/src/discovery/tests/watch/status.rs
+++ b/src/discovery/tests/watch/status.rs
@@ -26,7 +26,7 @@
 fn heartbeats_and_new_events_are_reported() {
     let (listener, address) = listen();
     let mut watch = Watch::new(Some(address));
-    watch.discovery.offer_known(vec![snapshot(5, vec![])]);
+    watch.discovery.merge_known_events(vec![snapshot(5, vec![])]);
     assert_eq!(statuses(&mut watch), [WatchStatus::Requested], "at the start");
     watch.poll(watch.reactor.now());
     let (mut stream, _) = watch.run_until_accepted(&listener);
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -31,7 +31,7 @@
     pub(super) fn reload_discovery(&mut self, now: Time, known: Vec<WatchEvent>) {
         let moved = self.discovery.set_address(self.config.discovery_service);
         self.poll_discovery(now);
-        self.discovery.offer_known(known);
+        self.discovery.merge_known_events(known);
         if moved {
             self.discovery.restart_watch(now, &mut self.reactor);
         }
