--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -119,7 +119,7 @@
     }
 
     /// The error that names `document` as the one with this problem.
-    pub(super) fn within(self, document: ConfigDocument) -> ConfigError {
+    pub(super) fn in_document(self, document: ConfigDocument) -> ConfigError {
         ConfigError {
             document,
             problem: self,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -70,5 +70,5 @@
         path: path.to_owned(),
         source,
     }
-    .within(document)
+    .in_document(document)
 }
--- a/src/config/operator_file/mod.rs
+++ b/src/config/operator_file/mod.rs
@@ -111,7 +111,7 @@
 ///
 /// The text is not TOML, a required key is missing, a key is unknown, or a value is outside its range.
 pub fn parse_operator_config(toml: &str) -> Result<OperatorConfig, ConfigError> {
-    parse(toml).map_err(|problem| problem.within(ConfigDocument::OperatorFile))
+    parse(toml).map_err(|problem| problem.in_document(ConfigDocument::OperatorFile))
 }
 
 fn parse(toml: &str) -> Result<OperatorConfig, ConfigProblem> {
--- a/src/config/scheduler_file/mod.rs
+++ b/src/config/scheduler_file/mod.rs
@@ -64,7 +64,7 @@
 }
 
 fn invalid(problem: ConfigProblem) -> ConfigError {
-    problem.within(ConfigDocument::SchedulerFile)
+    problem.in_document(ConfigDocument::SchedulerFile)
 }
 
 /// The memory limit in whole MB, inside its range.
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -24,7 +24,7 @@
 ///
 /// As [`parse_settings`].
 pub fn parse_site(json: &[u8]) -> Result<Site, ConfigError> {
-    parse(json).map_err(|problem| problem.within(ConfigDocument::Settings))
+    parse(json).map_err(|problem| problem.in_document(ConfigDocument::Settings))
 }
 
 fn parse(json: &[u8]) -> Result<Site, ConfigProblem> {
