--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -166,7 +166,7 @@
         if !std::mem::take(&mut queue.disconnected) {
             return;
         }
-        let delay = match queue.failed_connections {
+        let delay = match queue.consecutive_failures {
             0 => Span(0),
             failures => RECONNECT_BACKOFF.delay(failures - 1),
         };
@@ -178,8 +178,8 @@
     fn schedule_after_immediate_failure(&mut self, now: Time) {
         let mut queue = self.queue.borrow_mut();
         queue.disconnected = false;
-        queue.failed_connections += 1;
-        self.reconnect_at = Some(now + RECONNECT_BACKOFF.delay(queue.failed_connections));
+        queue.consecutive_failures += 1;
+        self.reconnect_at = Some(now + RECONNECT_BACKOFF.delay(queue.consecutive_failures));
     }
 
     /// Begins a connection; none if it failed at once.
--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -26,7 +26,7 @@
     let (_stream, offset) = watch.run_until_accepted(&new);
     assert_eq!(offset, 5, "it continues after the last event");
     let queue = watch.discovery.queue.borrow();
-    assert_eq!(queue.failed_connections, 0);
+    assert_eq!(queue.consecutive_failures, 0);
     assert!(!queue.disconnected);
 }
 
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -34,7 +34,7 @@
     /// The connection has ended and no other has been scheduled yet.
     pub(super) disconnected: bool,
     /// Connections in a row that ended without a frame.
-    pub(super) failed_connections: u32,
+    pub(super) consecutive_failures: u32,
 }
 
 impl WatchQueue {
@@ -45,7 +45,7 @@
             status_changes: VecDeque::new(),
             last_offset,
             disconnected: true,
-            failed_connections: 0,
+            consecutive_failures: 0,
         }
     }
 
@@ -106,7 +106,7 @@
 
     fn handle_frame(&mut self, frame: Frame, context: &Context) {
         let mut queue = self.queue.borrow_mut();
-        queue.failed_connections = 0;
+        queue.consecutive_failures = 0;
         if queue.receive(frame, context.input_since) {
             self.silent_at = context.now + WATCH_SILENCE_TIMEOUT;
         }
@@ -165,6 +165,6 @@
         let mut queue = self.queue.borrow_mut();
         queue.record_status(context.now, WatchStatus::Disconnected);
         queue.disconnected = true;
-        queue.failed_connections += 1;
+        queue.consecutive_failures += 1;
     }
 }
