--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -92,7 +92,7 @@
 /// A connection to the discovery service: asks for the events after the last one received, and queues them.
 pub(super) struct WatchConnection {
     queue: Rc<RefCell<WatchQueue>>,
-    silent_at: Time,
+    silence_deadline: Time,
 }
 
 impl WatchConnection {
@@ -100,7 +100,7 @@
     pub(super) fn new(queue: Rc<RefCell<WatchQueue>>, now: Time) -> WatchConnection {
         WatchConnection {
             queue,
-            silent_at: now + WATCH_SILENCE_TIMEOUT,
+            silence_deadline: now + WATCH_SILENCE_TIMEOUT,
         }
     }
 
@@ -108,7 +108,7 @@
         let mut queue = self.queue.borrow_mut();
         queue.consecutive_failures = 0;
         if queue.receive(frame, context.input_since) {
-            self.silent_at = context.now + WATCH_SILENCE_TIMEOUT;
+            self.silence_deadline = context.now + WATCH_SILENCE_TIMEOUT;
         }
     }
 
@@ -121,7 +121,7 @@
 
 impl Connection<RuntimeState> for WatchConnection {
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        self.silent_at = context.now + WATCH_SILENCE_TIMEOUT;
+        self.silence_deadline = context.now + WATCH_SILENCE_TIMEOUT;
         let mut queue = self.queue.borrow_mut();
         queue.record_status(context.now, WatchStatus::Requested);
         socket.enqueue(&queue.last_offset.to_be_bytes());
@@ -149,7 +149,7 @@
     }
 
     fn timer_expired(&mut self, _socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
-        if self.silent_at <= context.now {
+        if self.silence_deadline <= context.now {
             warn!("watch connection silent");
             return ConnectionFlow::Close;
         }
@@ -157,7 +157,7 @@
     }
 
     fn deadline(&self) -> Option<Time> {
-        Some(self.silent_at)
+        Some(self.silence_deadline)
     }
 
     fn closed(&mut self, _socket: &BufferedStream, cause: CloseCause, context: &mut Context) {
