--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -112,7 +112,7 @@
         }
     }
 
-    fn handle_undecodable(&self, error: DecodeError, context: &mut Context) -> ConnectionFlow {
+    fn handle_decode_error(&self, error: DecodeError, context: &mut Context) -> ConnectionFlow {
         context.shared.scheduler.counters().decode_errors += 1;
         warn!(cause = error.to_string(), "watch event undecodable");
         ConnectionFlow::Close
@@ -137,7 +137,7 @@
                     consumed += decoded.encoded_length;
                     self.handle_frame(decoded.frame, context);
                 }
-                Err(error) => return self.handle_undecodable(error, context),
+                Err(error) => return self.handle_decode_error(error, context),
             }
         }
         socket.consume(consumed);
