--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -23,7 +23,7 @@
 /// Length of a record, in bytes.
 const RECORD_LENGTH: usize = 27;
 /// The weight field counts in these parts of one.
-const WEIGHT_PARTS: f64 = 1000.0;
+const WEIGHT_SCALE: f64 = 1000.0;
 
 /// Where the fields of a frame begin, in bytes after the length field.
 mod frame_field {
@@ -154,7 +154,7 @@
         cell: CellId(u16::from_be_bytes(bytes_at(record, record_field::CELL))),
         state,
         source: EndpointSource::Discovery,
-        weight: f64::from(weight) / WEIGHT_PARTS,
+        weight: f64::from(weight) / WEIGHT_SCALE,
         started_at: started_at(u64::from_be_bytes(bytes_at(record, record_field::STARTED_AT))),
         kind: KindId(record[record_field::KIND]),
     };
