--- a/src/discovery/tests/watch/mod.rs
+++ b/src/discovery/tests/watch/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// The system refuses at once to begin a TCP connection to a broadcast address.
-const REFUSED_AT_ONCE: &str = "127.255.255.255:1";
+const BROADCAST_ADDRESS: &str = "127.255.255.255:1";
 /// Bounds a wait on a socket; no test depends on its length.
 const SOCKET_TIMEOUT: Duration = Duration::from_secs(20);
 const SITE: &[u8] = br#"{"fleetSize": 1, "index": 0, "classes": [], "bounds": {"mostTries": 1},
@@ -93,7 +93,7 @@
 }
 
 fn refused_at_once() -> SocketAddr {
-    REFUSED_AT_ONCE.parse().unwrap()
+    BROADCAST_ADDRESS.parse().unwrap()
 }
 
 fn heartbeat() -> Vec<u8> {
