--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -1,6 +1,6 @@
 //! The watch after its discovery service has moved to another address.
 
-use super::{Watch, listen, refused_at_once, unused_address};
+use super::{Watch, immediately_refused_address, listen, unused_address};
 use crate::discovery::tests::{delta, endpoint, record, snapshot};
 use crate::model::{EndpointState, Span, Time};
 use std::io::Read;
@@ -32,7 +32,7 @@
 
 #[test]
 fn an_address_change_ends_the_row_of_failures() {
-    let mut watch = Watch::new(Some(refused_at_once()));
+    let mut watch = Watch::new(Some(immediately_refused_address()));
     let now = watch.reactor.now();
     assert_eq!(watch.delay_after_poll(now), Some(Span::from_millis(200)));
     assert!(watch.discovery.set_address(Some(unused_address())));
--- a/src/discovery/tests/watch/mod.rs
+++ b/src/discovery/tests/watch/mod.rs
@@ -92,7 +92,7 @@
     listen().1
 }
 
-fn refused_at_once() -> SocketAddr {
+fn immediately_refused_address() -> SocketAddr {
     BROADCAST_ADDRESS.parse().unwrap()
 }
 
--- a/src/discovery/tests/watch/reconnect.rs
+++ b/src/discovery/tests/watch/reconnect.rs
@@ -1,6 +1,6 @@
 //! When the watch connects: at once, after a backoff, and after a silence.
 
-use super::{Watch, heartbeat, listen, refused_at_once, unused_address};
+use super::{Watch, heartbeat, immediately_refused_address, listen, unused_address};
 use crate::discovery::watch_connection::{WatchConnection, WatchQueue};
 use crate::model::{Span, Time};
 use crate::net::Connection;
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_connection_that_fails_at_once_is_retried_one_step_later() {
-    let mut watch = Watch::new(Some(refused_at_once()));
+    let mut watch = Watch::new(Some(immediately_refused_address()));
     let mut now = watch.reactor.now();
     for expected in [200, 400, 400] {
         let delay = watch.delay_after_poll(now);
@@ -57,7 +57,7 @@
 #[test]
 fn a_frame_ends_the_row_of_failures() {
     let (listener, address) = listen();
-    let mut watch = Watch::new(Some(refused_at_once()));
+    let mut watch = Watch::new(Some(immediately_refused_address()));
     let mut now = watch.reactor.now();
     for expected in [200, 400] {
         assert_eq!(watch.delay_after_poll(now), Some(Span::from_millis(expected)));
