--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -145,8 +145,8 @@
     let mut command = worker.next_command();
     peer.send(address, b"\x31\x07\xff");
     peer.advertise_for(VIRTUAL_ROUTER_ID + 1, address, HIGHER_PRIORITY, LONG_INTERVAL);
-    let stranger = StandInRouter::bind();
-    stranger.advertise(address, HIGHER_PRIORITY, LONG_INTERVAL);
+    let unknown_peer = StandInRouter::bind();
+    unknown_peer.advertise(address, HIGHER_PRIORITY, LONG_INTERVAL);
     scheduler.wait_for_counter("vrrp_advertisements_dropped", 3);
     assert!(!scheduler.wait_for_log("vrrp").contains(BECAME_BACKUP));
     command.succeed("eA==");
