--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// The example's message with a change, and the checksum that fits it.
-fn changed(change: fn(&mut Vec<u8>)) -> Vec<u8> {
+fn modified_message(change: fn(&mut Vec<u8>)) -> Vec<u8> {
     let mut message = example().encode();
     change(&mut message);
     set_checksum(&mut message);
@@ -31,11 +31,11 @@
 fn a_malformed_message_is_dropped_with_its_reason() {
     let message = example().encode();
     let wrong_priority = [&message[..2], &[101], &message[3..]].concat();
-    let without_address = changed(|message| {
+    let without_address = modified_message(|message| {
         message[3] = 0;
         message.truncate(HEADER_LENGTH);
     });
-    let zero_interval = changed(|message| message[4..6].copy_from_slice(&[0xf0, 0]));
+    let zero_interval = modified_message(|message| message[4..6].copy_from_slice(&[0xf0, 0]));
     for (message, error, text) in [
         (vec![], DecodeError::TooShort, "cut short"),
         (message[..7].to_vec(), DecodeError::TooShort, "cut short"),
@@ -45,22 +45,22 @@
             "length and count differ",
         ),
         (
-            changed(|message| message[0] = 0x21),
+            modified_message(|message| message[0] = 0x21),
             DecodeError::UnsupportedVersion,
             "not version 3",
         ),
         (
-            changed(|message| message[0] = 0x32),
+            modified_message(|message| message[0] = 0x32),
             DecodeError::UnknownType,
             "not an advertisement",
         ),
         (
-            changed(|message| message[3] = 2),
+            modified_message(|message| message[3] = 2),
             DecodeError::AddressCountMismatch,
             "length and count differ",
         ),
         (
-            changed(|message| message[1] = 0),
+            modified_message(|message| message[1] = 0),
             DecodeError::ZeroField,
             "a field is zero",
         ),
@@ -75,6 +75,6 @@
 
 #[test]
 fn reserved_bits_are_not_looked_at() {
-    let message = changed(|message| message[4] |= 0xf0);
+    let message = modified_message(|message| message[4] |= 0xf0);
     assert_eq!(Advertisement::decode(&message), Ok(example()));
 }
