--- a/tests/config/operator_file.rs
+++ b/tests/config/operator_file.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_operators_file_is_read_and_its_oddities_named() {
+fn the_operators_file_is_parsed_and_invalid_values_are_named() {
     let operator = parse_operator_config(&example_operator_file()).unwrap();
     assert_eq!(operator.jsonrpc.unwrap().mode, 0o660);
     assert_eq!(
