--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_configuration_is_read_and_its_oddities_named() {
+fn the_configuration_is_parsed_and_invalid_values_are_named() {
     let config = parse_scheduler_config(SCHEDULER_FILE.as_bytes()).unwrap();
     let endpoint = config.known_events[0].endpoints[0].endpoint;
     assert_eq!(
