--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -119,7 +119,7 @@
 
 /// A request under way knows its class by its place: a new configuration must not put another one there.
 #[test]
-fn classes_keep_their_places_when_a_configuration_is_replaced() {
+fn classes_keep_their_indexes_when_a_configuration_is_replaced() {
     let site = |names: &[&str]| {
         let class = |(deadline, name)| json!({"name": name, "deadlineNs": deadline, "effect": "retryable", "objectiveNs": 1});
         let classes: Vec<Value> = names.iter().enumerate().map(class).collect();
