--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn advertisements_that_are_malformed_or_foreign_are_dropped() {
+fn malformed_advertisements_and_those_of_other_routers_are_dropped() {
     let worker = StandInWorker::node_agent();
     let peer = StandInRouter::bind();
     let scheduler = peer.start_scheduler(&worker);
