--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn reserved_bits_are_not_looked_at() {
+fn reserved_bits_are_ignored() {
     let message = modified_message(|message| message[4] |= 0xf0);
     assert_eq!(Advertisement::decode(&message), Ok(example()));
 }
