--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -6,7 +6,7 @@
 use std::io::Read;
 
 #[test]
-fn an_address_change_is_followed_at_once_and_the_old_end_does_not_count() {
+fn an_address_change_reconnects_at_once_and_is_not_counted_as_a_failure() {
     let (old, old_address) = listen();
     let (new, new_address) = listen();
     let mut watch = Watch::new(Some(old_address));
