--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_address_change_ends_the_row_of_failures() {
+fn an_address_change_resets_the_failure_count() {
     let mut watch = Watch::new(Some(immediately_refused_address()));
     let now = watch.reactor.now();
     assert_eq!(watch.delay_after_poll(now), Some(Span::from_millis(200)));
