--- a/src/discovery/tests/watch/reconnect.rs
+++ b/src/discovery/tests/watch/reconnect.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_frame_ends_the_row_of_failures() {
+fn a_frame_resets_the_failure_count() {
     let (listener, address) = listen();
     let mut watch = Watch::new(Some(immediately_refused_address()));
     let mut now = watch.reactor.now();
