--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn waiting_events_survive_an_address_change() {
+fn pending_events_survive_an_address_change() {
     let mut watch = Watch::new(None);
     let event = delta(1, vec![record(endpoint(1, EndpointState::Ready), 81)]);
     watch.discovery.merge_known_events(vec![event]);
