--- a/src/discovery/tests/endpoint_list.rs
+++ b/src/discovery/tests/endpoint_list.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_snapshot_ends_the_workers_that_it_leaves_out() {
+fn a_snapshot_removes_the_workers_that_it_omits() {
     let (first, second) = (
         endpoint(1, EndpointState::Ready),
         endpoint(2, EndpointState::Ready),
