--- a/src/discovery/tests/watch/reconnect.rs
+++ b/src/discovery/tests/watch/reconnect.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 #[test]
-fn without_an_address_nothing_is_due() {
+fn without_an_address_no_connection_is_scheduled() {
     let mut watch = Watch::new(None);
     let now = watch.reactor.now();
     assert_eq!(watch.delay_after_poll(now), None);
