--- a/src/discovery/tests/watch/status.rs
+++ b/src/discovery/tests/watch/status.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn after_a_move_the_old_connection_confirms_nothing() {
+fn after_an_address_change_the_old_connection_reports_nothing() {
     let (old_listener, old_address) = listen();
     let (_new_listener, new_address) = listen();
     let mut watch = Watch::new(Some(old_address));
