--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_undecodable_frame_ends_the_connection_and_counts() {
+fn an_undecodable_frame_closes_the_connection_and_is_counted() {
     let (listener, address) = listen();
     let mut watch = Watch::new(Some(address));
     watch.poll(watch.reactor.now());
