--- a/src/discovery/tests/codec.rs
+++ b/src/discovery/tests/codec.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_incomplete_frame_is_waited_for() {
+fn an_incomplete_frame_decodes_to_none() {
     let bytes = encode_frame(DELTA, &encode_record(1));
     for length in 0..bytes.len() {
         assert_eq!(decode_frame(&bytes[..length]), Ok(None), "{length}");
