--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -57,7 +57,7 @@
     /// Takes in what a frame says that cannot have come before `arrived_at`; whether it shows that the watch works.
     fn receive(&mut self, frame: Frame, arrived_at: Time) -> bool {
         match frame {
-            Frame::Heartbeat { last_offset } if !self.matches(last_offset) => {
+            Frame::Heartbeat { last_offset } if !self.confirms_list(last_offset) => {
                 warn!(
                     last_offset,
                     expected = self.last_offset,
@@ -78,7 +78,7 @@
 
     /// Whether a heartbeat confirms the list: a service with fewer events cannot say that there are no others, and one
     /// with more has not sent them all. Zero says nothing.
-    fn matches(&self, last_offset: u64) -> bool {
+    fn confirms_list(&self, last_offset: u64) -> bool {
         last_offset == self.last_offset || last_offset == 0
     }
 
