--- a/src/vrrp/state_machine/tests.rs
+++ b/src/vrrp/state_machine/tests.rs
@@ -34,17 +34,17 @@
 }
 
 /// The router and the event of a case.
-struct Given {
+struct TransitionCase {
     state: State,
     priority: u8,
     preempt: bool,
     event: Event,
 }
 
-impl Given {
+impl TransitionCase {
     /// A router of priority 128, whose skew time is half an interval, that preempts.
-    fn new(state: State, event: Event) -> Given {
-        Given {
+    fn new(state: State, event: Event) -> TransitionCase {
+        TransitionCase {
             state,
             priority: 128,
             preempt: true,
@@ -52,15 +52,15 @@
         }
     }
 
-    fn address_owner(self) -> Given {
-        Given {
+    fn address_owner(self) -> TransitionCase {
+        TransitionCase {
             priority: PRIORITY_ADDRESS_OWNER,
             ..self
         }
     }
 
-    fn without_preemption(self) -> Given {
-        Given {
+    fn without_preemption(self) -> TransitionCase {
+        TransitionCase {
             preempt: false,
             ..self
         }
@@ -89,26 +89,35 @@
 #[test]
 fn initialize_responds_only_to_startup() {
     use State::{Active, Backup, Initialize};
-    Given::new(Initialize, Event::Startup).leads_to(Backup, Some(13_500), None);
-    Given::new(Initialize, Event::Startup)
+    TransitionCase::new(Initialize, Event::Startup).leads_to(Backup, Some(13_500), None);
+    TransitionCase::new(Initialize, Event::Startup)
         .address_owner()
         .leads_to(Active, Some(11_000), Some(255));
-    Given::new(Initialize, advertisement(200, 1000, HIGHER_ADDRESS)).leads_to(Initialize, None, None);
-    Given::new(Initialize, Event::TimerExpired).leads_to(Initialize, None, None);
-    Given::new(Initialize, Event::Shutdown).leads_to(Initialize, None, None);
+    TransitionCase::new(Initialize, advertisement(200, 1000, HIGHER_ADDRESS))
+        .leads_to(Initialize, None, None);
+    TransitionCase::new(Initialize, Event::TimerExpired).leads_to(Initialize, None, None);
+    TransitionCase::new(Initialize, Event::Shutdown).leads_to(Initialize, None, None);
 }
 
 #[test]
 fn backup_follows_the_active_router_and_takes_over_when_it_is_down() {
     use State::{Active, Backup, Initialize};
-    Given::new(Backup, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
-    Given::new(Backup, Event::Shutdown).leads_to(Initialize, None, None);
-    Given::new(Backup, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(Backup, Some(10_500), None);
-    Given::new(Backup, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(Backup, Some(13_500), None);
-    Given::new(Backup, advertisement(200, 2000, HIGHER_ADDRESS)).leads_to(Backup, Some(17_000), None);
+    TransitionCase::new(Backup, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
+    TransitionCase::new(Backup, Event::Shutdown).leads_to(Initialize, None, None);
+    TransitionCase::new(Backup, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(Backup, Some(10_500), None);
+    TransitionCase::new(Backup, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(
+        Backup,
+        Some(13_500),
+        None,
+    );
+    TransitionCase::new(Backup, advertisement(200, 2000, HIGHER_ADDRESS)).leads_to(
+        Backup,
+        Some(17_000),
+        None,
+    );
     let lower_priority = advertisement(100, 2000, HIGHER_ADDRESS);
-    Given::new(Backup, lower_priority).leads_to(Backup, Some(10_000), None);
-    Given::new(Backup, lower_priority)
+    TransitionCase::new(Backup, lower_priority).leads_to(Backup, Some(10_000), None);
+    TransitionCase::new(Backup, lower_priority)
         .without_preemption()
         .leads_to(Backup, Some(17_000), None);
 }
@@ -116,15 +125,31 @@
 #[test]
 fn active_advertises_and_returns_to_backup_for_a_higher_priority_or_address() {
     use State::{Active, Backup, Initialize};
-    Given::new(Active, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
-    Given::new(Active, Event::Shutdown).leads_to(Initialize, None, Some(0));
-    Given::new(Active, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(Active, Some(11_000), Some(128));
-    Given::new(Active, advertisement(200, 2000, LOWER_ADDRESS)).leads_to(Backup, Some(17_000), None);
-    Given::new(Active, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(Backup, Some(13_500), None);
-    Given::new(Active, advertisement(128, 1000, LOWER_ADDRESS)).leads_to(Active, Some(11_000), Some(128));
-    Given::new(Active, advertisement(100, 1000, HIGHER_ADDRESS)).leads_to(Active, Some(11_000), Some(128));
+    TransitionCase::new(Active, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
+    TransitionCase::new(Active, Event::Shutdown).leads_to(Initialize, None, Some(0));
+    TransitionCase::new(Active, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(
+        Active,
+        Some(11_000),
+        Some(128),
+    );
+    TransitionCase::new(Active, advertisement(200, 2000, LOWER_ADDRESS)).leads_to(Backup, Some(17_000), None);
+    TransitionCase::new(Active, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(
+        Backup,
+        Some(13_500),
+        None,
+    );
+    TransitionCase::new(Active, advertisement(128, 1000, LOWER_ADDRESS)).leads_to(
+        Active,
+        Some(11_000),
+        Some(128),
+    );
+    TransitionCase::new(Active, advertisement(100, 1000, HIGHER_ADDRESS)).leads_to(
+        Active,
+        Some(11_000),
+        Some(128),
+    );
     let other_owner = advertisement(255, 1000, HIGHER_ADDRESS);
-    Given::new(Active, other_owner)
+    TransitionCase::new(Active, other_owner)
         .address_owner()
         .leads_to(Active, Some(10_000), None);
 }
