--- a/src/vrrp/state_machine/tests.rs
+++ b/src/vrrp/state_machine/tests.rs
@@ -67,7 +67,7 @@
     }
 
     /// Compares the state after the event, its timer in milliseconds and the priority advertised.
-    fn leads_to(self, state: State, timer: Option<u64>, advertised: Option<u8>) {
+    fn assert_transition(self, state: State, timer: Option<u64>, advertised: Option<u8>) {
         let mut router = router(self.priority, self.preempt);
         router.state = self.state;
         router.timer = (self.state != State::Initialize).then_some(milliseconds(NOW));
@@ -89,61 +89,69 @@
 #[test]
 fn initialize_responds_only_to_startup() {
     use State::{Active, Backup, Initialize};
-    TransitionCase::new(Initialize, Event::Startup).leads_to(Backup, Some(13_500), None);
+    TransitionCase::new(Initialize, Event::Startup).assert_transition(Backup, Some(13_500), None);
     TransitionCase::new(Initialize, Event::Startup)
         .address_owner()
-        .leads_to(Active, Some(11_000), Some(255));
+        .assert_transition(Active, Some(11_000), Some(255));
     TransitionCase::new(Initialize, advertisement(200, 1000, HIGHER_ADDRESS))
-        .leads_to(Initialize, None, None);
-    TransitionCase::new(Initialize, Event::TimerExpired).leads_to(Initialize, None, None);
-    TransitionCase::new(Initialize, Event::Shutdown).leads_to(Initialize, None, None);
+        .assert_transition(Initialize, None, None);
+    TransitionCase::new(Initialize, Event::TimerExpired).assert_transition(Initialize, None, None);
+    TransitionCase::new(Initialize, Event::Shutdown).assert_transition(Initialize, None, None);
 }
 
 #[test]
 fn backup_follows_the_active_router_and_takes_over_when_it_is_down() {
     use State::{Active, Backup, Initialize};
-    TransitionCase::new(Backup, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
-    TransitionCase::new(Backup, Event::Shutdown).leads_to(Initialize, None, None);
-    TransitionCase::new(Backup, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(Backup, Some(10_500), None);
-    TransitionCase::new(Backup, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(
+    TransitionCase::new(Backup, Event::TimerExpired).assert_transition(Active, Some(11_000), Some(128));
+    TransitionCase::new(Backup, Event::Shutdown).assert_transition(Initialize, None, None);
+    TransitionCase::new(Backup, advertisement(0, 1000, HIGHER_ADDRESS)).assert_transition(
+        Backup,
+        Some(10_500),
+        None,
+    );
+    TransitionCase::new(Backup, advertisement(128, 1000, HIGHER_ADDRESS)).assert_transition(
         Backup,
         Some(13_500),
         None,
     );
-    TransitionCase::new(Backup, advertisement(200, 2000, HIGHER_ADDRESS)).leads_to(
+    TransitionCase::new(Backup, advertisement(200, 2000, HIGHER_ADDRESS)).assert_transition(
         Backup,
         Some(17_000),
         None,
     );
     let lower_priority = advertisement(100, 2000, HIGHER_ADDRESS);
-    TransitionCase::new(Backup, lower_priority).leads_to(Backup, Some(10_000), None);
+    TransitionCase::new(Backup, lower_priority).assert_transition(Backup, Some(10_000), None);
     TransitionCase::new(Backup, lower_priority)
         .without_preemption()
-        .leads_to(Backup, Some(17_000), None);
+        .assert_transition(Backup, Some(17_000), None);
 }
 
 #[test]
 fn active_advertises_and_returns_to_backup_for_a_higher_priority_or_address() {
     use State::{Active, Backup, Initialize};
-    TransitionCase::new(Active, Event::TimerExpired).leads_to(Active, Some(11_000), Some(128));
-    TransitionCase::new(Active, Event::Shutdown).leads_to(Initialize, None, Some(0));
-    TransitionCase::new(Active, advertisement(0, 1000, HIGHER_ADDRESS)).leads_to(
+    TransitionCase::new(Active, Event::TimerExpired).assert_transition(Active, Some(11_000), Some(128));
+    TransitionCase::new(Active, Event::Shutdown).assert_transition(Initialize, None, Some(0));
+    TransitionCase::new(Active, advertisement(0, 1000, HIGHER_ADDRESS)).assert_transition(
         Active,
         Some(11_000),
         Some(128),
     );
-    TransitionCase::new(Active, advertisement(200, 2000, LOWER_ADDRESS)).leads_to(Backup, Some(17_000), None);
-    TransitionCase::new(Active, advertisement(128, 1000, HIGHER_ADDRESS)).leads_to(
+    TransitionCase::new(Active, advertisement(200, 2000, LOWER_ADDRESS)).assert_transition(
+        Backup,
+        Some(17_000),
+        None,
+    );
+    TransitionCase::new(Active, advertisement(128, 1000, HIGHER_ADDRESS)).assert_transition(
         Backup,
         Some(13_500),
         None,
     );
-    TransitionCase::new(Active, advertisement(128, 1000, LOWER_ADDRESS)).leads_to(
+    TransitionCase::new(Active, advertisement(128, 1000, LOWER_ADDRESS)).assert_transition(
         Active,
         Some(11_000),
         Some(128),
     );
-    TransitionCase::new(Active, advertisement(100, 1000, HIGHER_ADDRESS)).leads_to(
+    TransitionCase::new(Active, advertisement(100, 1000, HIGHER_ADDRESS)).assert_transition(
         Active,
         Some(11_000),
         Some(128),
@@ -151,7 +159,7 @@
     let other_owner = advertisement(255, 1000, HIGHER_ADDRESS);
     TransitionCase::new(Active, other_owner)
         .address_owner()
-        .leads_to(Active, Some(10_000), None);
+        .assert_transition(Active, Some(10_000), None);
 }
 
 #[test]
