--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -28,7 +28,7 @@
 /// The JSON-RPC error of a rejected request.
 const REJECTED: i64 = -32001;
 /// How long the client of a request waits, in milliseconds.
-const ALLOWED_MS: u64 = 2900;
+const REQUEST_TIMEOUT_MS: u64 = 2900;
 
 const BECAME_ACTIVE: &str = "state=Active was=Backup";
 const BECAME_BACKUP: &str = "state=Backup was=Active";
@@ -114,7 +114,13 @@
 }
 
 fn send_request(client: &mut JsonRpcClient, id: u32) {
-    client.send(&request(&json!(id), IDEMPOTENT_CLASS, REQUEST_ID, ALLOWED_MS, ""));
+    client.send(&request(
+        &json!(id),
+        IDEMPOTENT_CLASS,
+        REQUEST_ID,
+        REQUEST_TIMEOUT_MS,
+        "",
+    ));
 }
 
 /// Has a request served by this worker.
