--- a/tests/config/sources.rs
+++ b/tests/config/sources.rs
@@ -9,7 +9,7 @@
         scheduler_file: scheduler.into(),
         operator_file: operator.map(PathBuf::from),
     };
-    for (sources, document, wanted) in [
+    for (sources, document, unreadable_path) in [
         (
             sources("/nowhere/config.json", None),
             ConfigDocument::SchedulerFile,
@@ -23,10 +23,11 @@
     ] {
         let error = sources.load().unwrap_err();
         assert_eq!(error.document, document);
-        let expected = format!("{document}: cannot read {wanted}: No such file or directory (os error 2)");
+        let expected =
+            format!("{document}: cannot read {unreadable_path}: No such file or directory (os error 2)");
         assert_eq!(error.to_string(), expected);
         assert!(
-            matches!(error.problem, ConfigProblem::Unreadable { path, .. } if path.as_os_str() == wanted)
+            matches!(error.problem, ConfigProblem::Unreadable { path, .. } if path.as_os_str() == unreadable_path)
         );
     }
 }
