--- a/src/scheduler/tests/request_table.rs
+++ b/src/scheduler/tests/request_table.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn only_the_first_write_counts_and_only_its_own_retraction() {
+fn the_first_write_is_kept_until_its_own_attempt_retracts_it() {
     let mut request = open_request(1);
     request.record_write(0, at_millis(5));
     request.record_write(1, at_millis(9));
