--- a/src/scheduler/errors.rs
+++ b/src/scheduler/errors.rs
@@ -44,13 +44,13 @@
     #[error("no connection")]
     NoConnection,
     /// The connection closed while the exchange was open.
-    #[error("connection ended")]
+    #[error("connection closed")]
     ConnectionClosed,
     /// No response came in time.
-    #[error("no answer")]
+    #[error("no response")]
     NoResponse,
     /// The response could not be decoded.
-    #[error("answer cannot be read")]
+    #[error("response cannot be decoded")]
     UndecodableResponse,
     /// The response to a health check did not say that the worker is alive.
     #[error("not alive")]
