--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -1,43 +1,45 @@
-//! The state of requests round the policy, without sockets or a clock of its own.
+//! Request state and policy execution, without sockets or a clock.
 //!
-//! The scheduler guarantees exactly one final response to each submitted request, whatever the policy and the
-//! workers do, unless the client cancels the request.
+//! The scheduler guarantees exactly one final response to each submitted request, whatever the policy and
+//! the workers do, unless the client cancels the request.
 //!
-//! # Who calls it
+//! # Callers
 //!
-//! - Frontends submit requests ([`Scheduler::submit`], [`Scheduler::cancel`]).
-//! - The backend asks before it writes a command ([`Scheduler::admits_write`],
-//!   [`Scheduler::admits_load_order`]) and reports what becomes of it ([`Scheduler::attempt_written`],
+//! - Frontends submit and cancel requests ([`Scheduler::submit`], [`Scheduler::cancel`]).
+//! - The backend asks for admission before it writes a command ([`Scheduler::admits_write`],
+//!   [`Scheduler::admits_load_order`]) and reports its progress and result ([`Scheduler::attempt_written`],
 //!   [`Scheduler::attempt_ended`] and the like).
 //! - The event loop reports changes of the endpoint list ([`Scheduler::update_endpoints`]), calls
-//!   [`Scheduler::fire_timers`] once [`Scheduler::next_timer`] is due, and executes the [`Command`]s in order.
+//!   [`Scheduler::fire_timers`] once [`Scheduler::next_timer`] is due, and executes the [`Command`]s in
+//!   order.
 //!
-//! Each of these calls becomes an [`Event`] for the [`Policy`], and each [`Action`] that the policy decides on becomes
-//! state and a [`Command`]. Every method that depends on time takes the present time as `now`, so tests need no clock.
+//! These calls feed [`Event`]s to the [`Policy`]. Each [`Action`] that the policy returns changes the
+//! scheduler's state and usually emits a [`Command`]. Every method that depends on time takes the current
+//! time as `now`, so tests need no clock.
 //!
-//! # The modules
+//! # Modules
 //!
-//! Each module with methods of [`Scheduler`] has one concern. This file holds the state that they share and the loop
-//! round the policy, which calls the `start_…`, `cancel_…` and `finish_…` methods of the others.
+//! Each module that implements methods of [`Scheduler`] has one concern. This file holds the state that they
+//! share and the policy loop, which calls the `start_…`, `cancel_…` and `finish_…` methods of the others.
 //!
 //! | module | concern | called by |
 //! | --- | --- | --- |
-//! | `settings` | the site's settings, the memory limit | server |
-//! | `endpoint_updates` | updates of the endpoint list, and how old it is | event loop, `timers` |
-//! | `intake` | requests: accepted, denied or cancelled | frontends |
-//! | `final_response` | the end of a request and its one response | the loop, `attempts`, `intake`, `timers` |
-//! | `attempts` | an attempt from its start to its end | the loop, backend, `timers` |
-//! | `load_orders` | a load order from its start to its end | the loop, backend, `timers` |
-//! | `health_checks` | a health check from its start to its end | the loop, backend, `timers` |
-//! | `timers` | what each timer does when it fires | event loop |
-//! | `write_admission` | the last check before a command is written | backend |
-//! | `invariants` | the checks of what must always hold | frontends, `attempts`, `final_response` |
-//! | `log_limiter` | the rate limit on log lines that clients cause | whoever logs them |
+//! | `settings` | site settings and the memory limit | server |
+//! | `endpoint_updates` | endpoint updates and the age of the endpoint list | event loop, `timers` |
+//! | `intake` | accepting, denying and cancelling requests | frontends |
+//! | `final_response` | the final response to a request | policy loop, `attempts`, `intake`, `timers` |
+//! | `attempts` | lifecycle of attempts | policy loop, backend, `timers` |
+//! | `load_orders` | lifecycle of load orders | policy loop, backend, `timers` |
+//! | `health_checks` | lifecycle of health checks | policy loop, backend, `timers` |
+//! | `timers` | dispatch of expired timers | event loop |
+//! | `write_admission` | last check before a command is written | backend |
+//! | `invariants` | runtime checks of invariants | frontends, `attempts`, `final_response` |
+//! | `log_limiter` | rate limit on log lines that clients can cause | all modules that log such lines |
 //!
-//! The other modules hold state or types without a `Scheduler`: the tables (`request_table`, `attempt_table`,
-//! `load_order_table`, `health_check_table`), the checks and limits (`request_admission`, `load_rate_limiter`,
-//! `recent_functions`), the counters, and the types that callers exchange with the scheduler (`command`, `errors`,
-//! `ids`, `messages`).
+//! The other modules hold state or types without a `Scheduler`: the tables (`request_table`,
+//! `attempt_table`, `load_order_table`, `health_check_table`), the checks and limits (`request_admission`,
+//! `load_rate_limiter`, `recent_functions`), the counters, and the types that callers exchange with the
+//! scheduler (`command`, `errors`, `ids`, `messages`).
 
 mod attempt_table;
 mod attempts;
@@ -89,7 +91,7 @@
 use std::collections::VecDeque;
 use timers::Timer;
 
-/// The scheduler's state, and its way from events to commands; see the [module's page](self).
+/// A scheduler that turns requests and worker responses into commands; see the [module documentation](self).
 ///
 /// ```
 /// use function_scheduler::scheduler::{
@@ -130,26 +132,27 @@
 pub struct Scheduler {
     site: Site,
     policy: Policy,
-    /// When the last request has to have ended, once the process shuts down.
+    /// Time by which all requests must have ended; `None` until shutdown begins.
     shutdown_deadline: Option<Time>,
     requests: RequestTable,
     attempts: AttemptTable,
     load_orders: LoadOrderTable,
     health_checks: HealthCheckTable,
-    /// Load orders and health checks share one sequence: correlation ids on the same connections are made of both.
+    /// Next number for a load order or health check. They share one sequence because the backend derives
+    /// correlation ids on the same connections from both.
     next_exchange_number: u64,
     lease_monitor: LeaseMonitor,
     load_rate_limiter: LoadRateLimiter,
     log_limiter: LogLimiter,
     timers: TimerQueue<Timer>,
-    /// Events of which the policy has not been notified yet.
+    /// Events that the policy has not handled yet.
     pending_events: VecDeque<Event>,
     commands: VecDeque<Command>,
     counters: Counters,
 }
 
 impl Scheduler {
-    /// A scheduler without requests and workers. The seed decides all ties.
+    /// Creates a scheduler without requests and workers. `seed` determines the policy's random draws.
     pub fn new(site: Site, seed: u64) -> Scheduler {
         Scheduler {
             policy: Policy::new(site.settings.clone(), seed),
@@ -170,23 +173,23 @@
         }
     }
 
-    /// The running totals, to be read or added to.
+    /// Returns the counters, for reading or updating.
     pub fn counters(&mut self) -> &mut Counters {
         &mut self.counters
     }
 
-    /// The next command to execute.
+    /// Removes and returns the next command to execute.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// Notifies the policy of an event, and executes what it decides on.
+    /// Passes an event to the policy and executes the resulting actions.
     fn handle_event(&mut self, now: Time, event: Event) {
         self.pending_events.push_back(event);
         self.run_policy(now);
     }
 
-    /// Notifies the policy of all pending events and executes the actions that it decides on, until no event is left.
+    /// Passes pending events to the policy and executes the resulting actions until no event is left.
     fn run_policy(&mut self, now: Time) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending_events.pop_front() {
@@ -199,7 +202,7 @@
         self.load_rate_limiter.forget_old_requests(now, limit);
     }
 
-    /// Turns one of the policy's actions into state and commands.
+    /// Executes an action of the policy: updates the state and emits commands.
     fn execute_action(&mut self, now: Time, action: Action) {
         match action {
             Action::Send { id, worker, timeout } => self.start_attempt(now, id, worker, timeout),
@@ -231,12 +234,12 @@
             }
             Action::HealthCheck { worker } => self.start_health_check(now, worker),
             Action::SetTimer { delay } => self.timers.schedule(now + delay, Timer::Policy),
-            // Discovery follows the endpoint list without being asked.
+            // Discovery always watches the endpoint list; it needs no subscription.
             Action::Subscribe => {}
         }
     }
 
-    /// The number of the next load order or health check.
+    /// Allocates the number of a new load order or health check.
     fn allocate_exchange_number(&mut self) -> u64 {
         let number = self.next_exchange_number;
         self.next_exchange_number += 1;
