--- a/src/scheduler/command.rs
+++ b/src/scheduler/command.rs
@@ -1,4 +1,4 @@
-//! Commands: what the scheduler has the event loop do.
+//! Commands that the scheduler gives to the event loop.
 
 use super::{AttemptId, HealthCheckId, LoadOrderId, RequestOrigin, RequestPayload, Response};
 use crate::model::{FunctionId, Time, WorkerId};
@@ -6,24 +6,24 @@
 
 /// A command to a frontend or to the backend, to be executed in order.
 ///
-/// It marks the border between the scheduler, which has no sockets, and the event loop. Four more types stand for the
-/// same work on its way, each at a border of its own:
+/// Commands are the interface between the scheduler, which has no sockets, and the event loop. Four other
+/// types represent the same work in other layers:
 ///
-/// - An [`Action`](crate::model::Action) marks the border before this one, between the policy and its host: it names a
-///   request and a worker, and the scheduler adds what the policy does not know, such as the body and the attempt's
-///   number.
-/// - The attempt, load order or health check that a command starts is the scheduler's record of it. It begins with the
-///   command, ends with the worker's response, a failure or a timer, and is named by [`AttemptId`], [`LoadOrderId`] or
-///   [`HealthCheckId`] on both sides of this border.
-/// - A worker command of the backend marks the border between its pool, which chooses a connection, and that
-///   connection: it is this command without its worker.
-/// - An exchange is the backend's record of the same work on one connection: a command that was written, or waits to
-///   be, and the response that it is owed.
+/// - An [`Action`](crate::model::Action) is the interface between the policy and the scheduler. It names a
+///   request and a worker, and the scheduler adds what the policy does not know, such as the body and the
+///   attempt's number.
+/// - An attempt, load order or health check is the scheduler's record of the work that a command starts. It
+///   begins with the command and ends with the worker's response, a failure or a timer. Scheduler and event
+///   loop both identify it by its [`AttemptId`], [`LoadOrderId`] or [`HealthCheckId`].
+/// - A worker command is the interface between the backend's pool, which chooses a connection, and that
+///   connection: the same command without the worker.
+/// - An exchange is the backend's record of the work on one connection: a command that was written or is
+///   queued, and the response that it awaits.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Give a client the final response to its request.
     Respond {
-        /// Where the request came from.
+        /// The connection and stream that the request came from.
         origin: RequestOrigin,
         /// The response.
         response: Response,
@@ -32,18 +32,18 @@
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// The worker it goes to.
+        /// The worker that the attempt is sent to.
         worker: WorkerId,
-        /// What it carries.
+        /// The content of the request.
         payload: Rc<RequestPayload>,
-        /// When its response is no longer waited for.
+        /// When the command times out.
         deadline: Time,
     },
     /// Cancel an attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
-        /// The worker it went to.
+        /// The worker that the attempt was sent to.
         worker: WorkerId,
     },
     /// Order a worker to load a function.
@@ -54,16 +54,16 @@
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// How many instances are to be loaded at least; 0 only asks how many are.
+        /// Minimum number of loaded instances; 0 only queries how many are loaded.
         instances: u8,
     },
-    /// Ask a worker whether it is alive.
+    /// Check whether a worker is alive.
     HealthCheck {
         /// The health check.
         check: HealthCheckId,
         /// The worker.
         worker: WorkerId,
-        /// When its response is no longer waited for.
+        /// When the command times out.
         deadline: Time,
     },
     /// Order a worker to unload a function's idle instances.
--- a/src/scheduler/errors.rs
+++ b/src/scheduler/errors.rs
@@ -1,24 +1,26 @@
-//! How an exchange with a worker can fail: a command and the response that it is owed, be it for an attempt, a load
+//! Failures of exchanges with workers. An exchange is a command and its response, for an attempt, a load
 //! order or a health check.
 
 use crate::model::{AttemptStatus, LoadStatus};
 use thiserror::Error;
 
-/// How far the bytes of a command had come when its exchange failed. This alone decides whether a retry is safe.
+/// How much of a command had been written when its exchange failed. Only this decides whether a retry is
+/// safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
     /// No byte was handed to the operating system.
     NotSent,
-    /// Some bytes were, not all: the worker cannot parse what it receives, so the command never ran.
+    /// Some but not all bytes were handed to the operating system. The worker cannot parse a partial
+    /// command, so it never ran.
     PartiallyWritten,
-    /// All bytes were handed to the operating system: the command may have run.
+    /// All bytes were handed to the operating system; the command may have run.
     Written,
-    /// A response came that could not be used: the command may have run.
+    /// An unusable response was received; the command may have run.
     Answered,
 }
 
 impl WriteProgress {
-    /// The status of an attempt that failed at this point.
+    /// Returns the status of an attempt that failed at this point.
     pub(super) fn attempt_status(self) -> AttemptStatus {
         match self {
             WriteProgress::NotSent | WriteProgress::PartiallyWritten => AttemptStatus::ConnectFailed,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The status of a load order that failed at this point.
+    /// Returns the status of a load order that failed at this point.
     pub(super) fn load_status(self) -> LoadStatus {
         match self {
             WriteProgress::NotSent | WriteProgress::PartiallyWritten => LoadStatus::ConnectFailed,
@@ -37,16 +39,16 @@
     }
 }
 
-/// Why an exchange with a worker ended without a usable response.
+/// The reason why an exchange with a worker ended without a usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FailureCause {
-    /// There was no connection to the worker, and none could be opened.
+    /// The worker had no open connection, and none could be opened.
     #[error("no connection")]
     NoConnection,
     /// The connection closed while the exchange was open.
     #[error("connection closed")]
     ConnectionClosed,
-    /// No response came in time.
+    /// The exchange timed out.
     #[error("no response")]
     NoResponse,
     /// The response could not be decoded.
@@ -61,8 +63,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{cause}")]
 pub struct ExchangeError {
-    /// How far the command had been written.
+    /// How much of the command had been written.
     pub progress: WriteProgress,
-    /// What went wrong.
+    /// Why the exchange failed.
     pub cause: FailureCause,
 }
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -1,8 +1,8 @@
-//! Identifiers of requests at their client, attempts, load orders and health checks.
+//! Identifiers of request origins, attempts, load orders and health checks.
 
 use crate::model::{ConnectionId, RequestId, StreamId};
 
-/// Where a request came from and its response goes: a client connection and a stream on it.
+/// The client connection and stream that a request came from and its response goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestOrigin {
     /// The client connection.
@@ -11,19 +11,19 @@
     pub stream: StreamId,
 }
 
-/// One attempt of one request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Which of the request's attempts, from 0.
+    /// The number of the attempt among the request's attempts, from 0.
     pub number: u16,
 }
 
-/// One load order. The backend derives its correlation id on the wire from it.
+/// Identifies a load order. The backend derives the correlation id on the wire from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LoadOrderId(pub u64);
 
-/// One health check. The backend derives its correlation id on the wire from it.
+/// Identifies a health check. The backend derives the correlation id on the wire from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HealthCheckId(pub u64);
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,35 +1,36 @@
-//! Requests, workers' responses and final responses, as frontends, scheduler and backend exchange them.
+//! Requests, worker responses and final responses that frontends, scheduler and backend exchange.
 //!
-//! Ends come in two kinds. A *request* ends once, with an [`Outcome`], which its client receives within a [`Response`].
-//! An *attempt* of it ends with a [`WorkerResponse`] or a failure, of which the policy is notified as an
-//! [`AttemptOutcome`](crate::model::AttemptOutcome); a request may have several attempts, or none.
+//! A *request* ends once, with an [`Outcome`] that its client receives in a [`Response`]. A request has any
+//! number of *attempts*, including none. Each attempt ends with a [`WorkerResponse`] or a failure, which the
+//! policy receives as an [`AttemptOutcome`](crate::model::AttemptOutcome).
 
 use super::RequestOrigin;
 use crate::model::{AttemptStatus, FunctionId, LoadStatus, Span, Time};
 
-/// What a client asks for.
+/// The parameters of a client's request.
 #[derive(Clone, Debug)]
 pub struct RequestParameters {
     /// Name of the request class.
     pub class: String,
     /// The requested function.
     pub function: FunctionId,
-    /// Idempotency key, in keyed classes: the same in all of a client's retries of one request.
+    /// Idempotency key, for keyed classes only. All of a client's retries of one request carry the same key.
     pub key: Option<String>,
-    /// Memory of one loaded instance, in MB.
+    /// Memory that one loaded instance takes, in MB.
     pub memory_mb: f64,
-    /// Requests that one instance runs at a time.
+    /// Number of requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time to load the function, where known.
+    /// Typical time to load the function, if known.
     pub load_time: Option<Span>,
     /// When the client stops waiting.
     pub deadline: Time,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 impl RequestParameters {
-    /// A request without an idempotency key, for a function of which nothing more is known.
+    /// Creates parameters without an idempotency key, for a function whose memory, concurrency and load time
+    /// are not known.
     pub fn new(class: &str, function: FunctionId, deadline: Time, body: Vec<u8>) -> RequestParameters {
         RequestParameters {
             class: class.to_owned(),
@@ -44,18 +45,18 @@
     }
 }
 
-/// A request as a client's connection submits it.
+/// A request that a client connection submits.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// Where the final response goes.
     pub origin: RequestOrigin,
-    /// The client's id for this request; workers get it unchanged.
+    /// The client's id for this request, passed to workers unchanged.
     pub correlation_id: String,
-    /// What is asked for.
+    /// The parameters of the request.
     pub parameters: RequestParameters,
 }
 
-/// The part of a request that every attempt carries to a worker.
+/// The part of a request that each attempt sends to a worker.
 #[derive(Debug)]
 pub struct RequestPayload {
     /// The client's id for this request.
@@ -64,29 +65,29 @@
     pub class: String,
     /// The requested function.
     pub function: FunctionId,
-    /// Idempotency key, in keyed classes.
+    /// Idempotency key, for keyed classes only.
     pub key: Option<String>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 /// A worker's response to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerResponse {
-    /// Served, with the response body.
+    /// Success, with the response body.
     Ok(Vec<u8>),
-    /// The function is not loaded there; the request never ran.
+    /// The function is not loaded on the worker; the request never ran.
     Miss,
     /// Rejected for lack of capacity; the request never ran.
     AtCapacity,
-    /// Failed; the request may have run.
+    /// An error; the request may have run.
     Error,
-    /// The request was over before it ran.
+    /// The request expired before it ran.
     Expired,
 }
 
 impl WorkerResponse {
-    /// The status of the attempt that got this response.
+    /// Returns the status of an attempt that received this response.
     pub fn attempt_status(&self) -> AttemptStatus {
         match self {
             WorkerResponse::Ok(_) => AttemptStatus::Ok,
@@ -97,8 +98,10 @@
         }
     }
 
-    /// The status of the load order that got this response. The protocol gives load orders neither a miss, which
-    /// counts as no answer, nor an expiry, which says nothing of the worker.
+    /// Returns the status of a load order that received this response.
+    ///
+    /// The protocol defines neither a miss nor an expiry for load orders. A miss counts as a missing
+    /// response, and an expiry does not count against the worker.
     pub fn load_status(&self) -> LoadStatus {
         match self {
             WorkerResponse::Ok(_) => LoadStatus::Ok,
@@ -110,40 +113,40 @@
     }
 }
 
-/// One value of the load report that comes with a worker's response.
+/// One value of the load report in a worker's response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedMetric {
-    /// The metric's name, as in the settings.
+    /// The name of the metric in the settings.
     pub name: String,
-    /// Its value, finite and not negative.
+    /// The value, finite and not negative.
     pub value: f32,
 }
 
-/// A worker's response to a load order.
+/// The result of a load order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadResult {
-    /// How the order ended.
+    /// The status that the order ended with.
     pub status: LoadStatus,
-    /// Instances that are loaded now.
+    /// Number of instances loaded after the order.
     pub instances: u32,
 }
 
 impl LoadResult {
-    /// The result of an order after which no instance is known to be loaded.
+    /// Creates the result of an order after which no instance is known to be loaded.
     pub(super) fn without_instances(status: LoadStatus) -> LoadResult {
         LoadResult { status, instances: 0 }
     }
 }
 
-/// How a request ended, as its client is to know it: not the end of one attempt, which is an
+/// The outcome of a request, as reported to its client. The outcome of a single attempt is an
 /// [`AttemptOutcome`](crate::model::AttemptOutcome).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served, with a worker's response body.
     Served(Vec<u8>),
-    /// Not executed; a retry is harmless after `retry_after`.
+    /// Not executed; the client may safely retry after `retry_after`.
     Rejected {
-        /// How long the client should wait; zero for no advice.
+        /// Time that the client should wait before a retry; zero gives no advice.
         retry_after: Span,
     },
     /// Failed; the request may or may not have run.
@@ -151,7 +154,7 @@
 }
 
 impl Outcome {
-    /// Its name in the log.
+    /// Returns the name of the outcome in log lines.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Outcome::Served(_) => "served",
@@ -161,11 +164,11 @@
     }
 }
 
-/// The one final response to a request: its outcome, and what else the frontend needs to encode it.
+/// The final response to a request: its outcome and what else the frontend needs to encode it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// How the request ended.
+    /// The outcome of the request.
     pub outcome: Outcome,
-    /// Whether it ended because its deadline had come.
+    /// Whether the request ended because its deadline had passed.
     pub expired: bool,
 }
