--- a/src/scheduler/final_response.rs
+++ b/src/scheduler/final_response.rs
@@ -1,7 +1,7 @@
-//! Final responses: the end of a request, and the guarantee that it has exactly one response.
+//! Final responses, and the guarantee that each request gets exactly one.
 //!
-//! A final response is given only by whoever removes the request from the table, so none is given twice. A request
-//! that the policy never ends is failed by its timer, so none is missing.
+//! Only the code that removes a request from the table sends its final response, so none is sent twice. A
+//! timer fails each request that the policy does not end, so none is missing.
 
 use super::request_table::OpenRequest;
 use super::timers::Timer;
@@ -10,17 +10,17 @@
 use tracing::debug;
 
 impl Scheduler {
-    /// How many requests are owed a final response.
+    /// Returns the number of requests that still await their final response.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Counts a request that its frontend has answered by itself because it could not be submitted.
+    /// Counts a request that its frontend answered without submitting it.
     pub fn count_frontend_response(&mut self, outcome: &Outcome) {
         self.counters.count_frontend_response(outcome);
     }
 
-    /// Ends a request with a worker's response body.
+    /// Ends a request successfully with a worker's response body.
     pub(super) fn serve(&mut self, now: Time, id: RequestId, body: Vec<u8>) {
         let Some(request) = self.remove_request(id) else {
             return;
@@ -33,7 +33,7 @@
         self.respond(request.origin, response);
     }
 
-    /// Ends a request without a worker's response.
+    /// Ends a request with an outcome other than a worker's response.
     pub(super) fn finish_request(&mut self, now: Time, id: RequestId, outcome: Outcome) {
         let Some(request) = self.remove_request(id) else {
             return;
@@ -43,7 +43,8 @@
         self.respond(request.origin, Response { outcome, expired });
     }
 
-    /// Fails a request that the policy should have ended by now, after a last chance for the policy to do so.
+    /// Fails a request that the policy has not ended in time. Pending events are handled first, since the
+    /// policy may still end the request on one of them.
     pub(super) fn fail_overdue_request(&mut self, now: Time, id: RequestId) {
         self.run_policy(now);
         if !self.requests.contains(id) {
@@ -54,14 +55,14 @@
         self.pending_events.push_back(Event::ClientDisconnected(id));
     }
 
-    /// Removes a request with its timer. The caller gives the final response, if one is still owed.
+    /// Removes a request and its timer. The caller sends the final response unless the client has cancelled.
     pub(super) fn remove_request(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(id)?;
         self.timers.cancel(request.overdue_at(), Timer::Request(id));
         Some(request)
     }
 
-    /// Gives a client the final response to its request.
+    /// Sends the final response to a client.
     pub(super) fn respond(&mut self, origin: RequestOrigin, response: Response) {
         self.counters.count_response(&response.outcome);
         debug!(
--- a/src/scheduler/intake.rs
+++ b/src/scheduler/intake.rs
@@ -1,4 +1,4 @@
-//! The intake of requests: a request is denied or accepted when it comes, and may be cancelled by its client.
+//! Acceptance, denial and cancellation of requests.
 
 use super::request_admission::{RequestDenied, check_request};
 use super::request_table::OpenRequest;
@@ -8,7 +8,7 @@
 use tracing::debug;
 
 impl Scheduler {
-    /// Takes in a complete request. From here on exactly one final response is owed to its client.
+    /// Submits a complete request. Unless the client cancels it, exactly one final response follows.
     pub fn submit(&mut self, now: Time, request: ClientRequest) {
         self.counters.requests_received += 1;
         self.load_rate_limiter.record_request(now);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The client no longer waits for this request: no final response is owed to it any more.
+    /// Cancels a request whose client no longer waits for it. No final response follows.
     pub fn cancel(&mut self, now: Time, origin: RequestOrigin) {
         let Some(id) = self.requests.id_at(origin) else {
             return;
@@ -37,12 +37,13 @@
         self.handle_event(now, Event::ClientDisconnected(id));
     }
 
-    /// Has every request that is still to come end by this time, and those that come later rejected.
+    /// Sets the time by which all requests must end. The deadlines of requests submitted from now on are
+    /// limited to `ends_at`, and requests submitted from `ends_at` on are rejected.
     pub fn set_shutdown_deadline(&mut self, ends_at: Time) {
         self.shutdown_deadline = Some(ends_at);
     }
 
-    /// A request with its deadline moved to the end of the process, if that comes before it.
+    /// Limits the request's deadline to the shutdown deadline, if there is one.
     fn clamp_to_shutdown_deadline(&self, mut request: ClientRequest) -> ClientRequest {
         if let Some(shutdown_deadline) = self.shutdown_deadline {
             request.parameters.deadline = request.parameters.deadline.min(shutdown_deadline);
@@ -50,7 +51,7 @@
         request
     }
 
-    /// The class of a request that may be accepted.
+    /// Returns the class of a request that may be accepted, or why it is denied.
     fn check_admission(&self, now: Time, request: &ClientRequest) -> Result<ClassId, RequestDenied> {
         if self.shutdown_deadline.is_some_and(|deadline| deadline <= now) {
             return Err(RequestDenied::ShuttingDown);
@@ -58,7 +59,7 @@
         check_request(now, request, &self.site, &self.requests)
     }
 
-    /// Enters an admitted request into the table, and notifies the policy of it.
+    /// Adds an admitted request to the table and notifies the policy of it.
     fn accept(&mut self, now: Time, request: ClientRequest, class: ClassId) {
         let ClientRequest {
             origin,
@@ -91,7 +92,7 @@
         self.handle_event(now, Event::RequestReceived(incoming));
     }
 
-    /// Enters a request into the table, with the timer that fails it if the policy does not end it.
+    /// Adds a request to the table and sets the timer that fails it if the policy does not end it.
     fn insert_request(&mut self, now: Time, request: OpenRequest) -> RequestId {
         let OpenRequest { origin, deadline, .. } = request;
         let overdue_at = request.overdue_at();
--- a/src/scheduler/request_admission.rs
+++ b/src/scheduler/request_admission.rs
@@ -1,26 +1,26 @@
-//! The checks on a request before the scheduler accepts it.
+//! Checks on a request before the scheduler accepts it.
 
 use super::request_table::RequestTable;
 use super::{ClientRequest, Outcome, Response};
 use crate::model::{ClassId, Site, Span, Time};
 use thiserror::Error;
 
-/// Why a request is answered at once, without the policy.
+/// The reason why a request is denied without consulting the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum RequestDenied {
-    /// The configuration has no such class.
+    /// The request names a class that is not configured.
     #[error("unknown request class")]
     UnknownClass,
-    /// Workers could not tell the responses to two open requests of one correlation id apart.
+    /// Another open request has the same correlation id, so worker responses would be ambiguous.
     #[error("correlation id in use")]
     DuplicateCorrelationId,
-    /// The process shuts down, and has asked its clients to leave.
+    /// The process is shutting down and has asked its clients to disconnect.
     #[error("shutting down")]
     ShuttingDown,
-    /// The client no longer waits.
+    /// The client's deadline has passed.
     #[error("deadline passed")]
     DeadlinePassed,
-    /// Too many requests are open, or their bodies take too much memory.
+    /// Too many requests are open, or the request bodies would take too much memory.
     #[error("too many open requests")]
     TooManyOpen,
     /// The stream already has an open request.
@@ -29,7 +29,7 @@
 }
 
 impl RequestDenied {
-    /// The final response to the denied request.
+    /// Returns the final response to the denied request.
     pub(super) fn response(self, retry_after: Span) -> Response {
         let outcome = match self {
             RequestDenied::UnknownClass | RequestDenied::DuplicateCorrelationId => Outcome::Failed,
@@ -45,11 +45,11 @@
     }
 }
 
-/// The class of a request that may be accepted.
+/// Returns the class of a request that may be accepted.
 ///
 /// # Errors
 ///
-/// Says why the request must not be accepted.
+/// Returns the reason why the request must not be accepted.
 pub(super) fn check_request(
     now: Time,
     request: &ClientRequest,
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -1,38 +1,38 @@
-//! The table of open requests: those that are owed a final response.
+//! The table of open requests, which still await their final response.
 
 use super::{RequestOrigin, RequestPayload};
 use crate::model::{Idempotency, RequestId, Span, Time};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
-/// How long after its deadline the scheduler itself fails a request that the policy has not ended. The final
-/// response is owed whatever the policy does, and clients allow 50 ms beyond their deadline.
+/// Time after a request's deadline at which the scheduler fails the request if the policy has not ended it.
+/// The client is guaranteed a final response whatever the policy does, and allows 50 ms beyond the deadline.
 const OVERDUE_GRACE: Span = Span::from_millis(20);
 
-/// Bodies of open requests may take this fraction of the memory limit, given as its divisor.
+/// Bodies of open requests may take the memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 6;
 
-/// The memory limit until one is configured, in bytes.
+/// Memory limit in bytes until [`RequestTable::set_memory_limit`] is called.
 const DEFAULT_MEMORY_LIMIT: usize = 192 << 20;
 
-/// An open request: it is owed a final response.
+/// An open request, which still awaits its final response.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// Where the final response goes.
+    /// The connection and stream that the final response goes to.
     pub(super) origin: RequestOrigin,
-    /// What each attempt carries.
+    /// The content that each attempt sends.
     pub(super) payload: Rc<RequestPayload>,
-    /// Whether it may be attempted again after it may have run.
+    /// Whether the request may be sent again once it may have run.
     pub(super) idempotency: Idempotency,
     /// When the client stops waiting.
     pub(super) deadline: Time,
     attempts_started: u16,
-    /// The first attempt that may have run: its number, and when it was written.
+    /// Number and write time of the first attempt that may have run.
     first_write: Option<(u16, Time)>,
 }
 
 impl OpenRequest {
-    /// A request without attempts.
+    /// Creates a request without attempts.
     pub(super) fn new(
         origin: RequestOrigin,
         payload: RequestPayload,
@@ -49,35 +49,35 @@
         }
     }
 
-    /// When the scheduler fails the request if the policy has not ended it.
+    /// Returns when the scheduler fails the request if the policy has not ended it.
     pub(super) fn overdue_at(&self) -> Time {
         self.deadline + OVERDUE_GRACE
     }
 
-    /// When the first attempt that may have run was written.
+    /// Returns when the first attempt that may have run was written.
     pub(super) fn first_written_at(&self) -> Option<Time> {
         self.first_write.map(|(_, written_at)| written_at)
     }
 
-    /// The number of the next attempt, which is counted as started.
+    /// Counts a new attempt and returns its number.
     pub(super) fn start_attempt(&mut self) -> u16 {
         let number = self.attempts_started;
         self.attempts_started += 1;
         number
     }
 
-    /// The attempt of this number has been written completely: from now on the request may have run.
+    /// Records that an attempt has been written completely; the request may have run from then on.
     pub(super) fn record_write(&mut self, number: u16, now: Time) {
         self.first_write.get_or_insert((number, now));
     }
 
-    /// The attempt of this number turned out never to have run.
+    /// Reverts [`record_write`](Self::record_write) for an attempt that turned out never to have run.
     pub(super) fn retract_write(&mut self, number: u16) {
         self.first_write.take_if(|(written, _)| *written == number);
     }
 }
 
-/// The open requests, found by id or by origin, with what they occupy: correlation ids and memory.
+/// The open requests by id and by origin, with the correlation ids and the memory that they occupy.
 #[derive(Debug)]
 pub(super) struct RequestTable {
     next_id: RequestId,
@@ -89,7 +89,7 @@
 }
 
 impl RequestTable {
-    /// A table without requests, under the default memory limit.
+    /// Creates an empty table with the default memory limit.
     pub(super) fn new() -> RequestTable {
         RequestTable {
             next_id: RequestId(0),
@@ -101,47 +101,47 @@
         }
     }
 
-    /// Sets the memory limit of the process, in bytes; bodies of open requests get a fraction of it.
+    /// Sets the memory limit of the process, in bytes. Bodies of open requests may take a fraction of it.
     pub(super) fn set_memory_limit(&mut self, bytes: usize) {
         self.max_body_bytes = bytes / BODY_MEMORY_DIVISOR;
     }
 
-    /// How many requests are open.
+    /// Returns the number of open requests.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether one more request with a body of this size fits.
+    /// Returns whether another request with a body of this size fits.
     pub(super) fn has_capacity(&self, body_bytes: usize, max_open_requests: usize) -> bool {
         self.requests.len() < max_open_requests && self.body_bytes + body_bytes <= self.max_body_bytes
     }
 
-    /// Whether an open request has this correlation id.
+    /// Returns whether an open request has this correlation id.
     pub(super) fn has_correlation_id(&self, correlation_id: &str) -> bool {
         self.correlation_ids.contains(correlation_id)
     }
 
-    /// The open request from this origin.
+    /// Returns the id of the open request from this origin.
     pub(super) fn id_at(&self, origin: RequestOrigin) -> Option<RequestId> {
         self.ids_by_origin.get(&origin).copied()
     }
 
-    /// Whether this request is open.
+    /// Returns whether this request is open.
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// An open request.
+    /// Returns an open request.
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.requests.get(&id)
     }
 
-    /// An open request, to be changed.
+    /// Returns a mutable reference to an open request.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&id)
     }
 
-    /// Adds a request under a new id.
+    /// Adds a request and returns its new id.
     pub(super) fn insert(&mut self, request: OpenRequest) -> RequestId {
         let id = self.next_id;
         self.next_id = RequestId(id.0.wrapping_add(1));
@@ -153,7 +153,7 @@
         id
     }
 
-    /// Removes a request with all that it occupied.
+    /// Removes a request and frees its correlation id, origin and memory.
     pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(&id)?;
         self.body_bytes -= request.payload.body.len();
