--- a/src/scheduler/attempt_table.rs
+++ b/src/scheduler/attempt_table.rs
@@ -1,25 +1,25 @@
-//! The table of attempts that have not ended: in flight, or waiting to be written.
+//! The table of attempts that are in flight or queued for writing.
 
 use super::AttemptId;
 use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, Time, WorkerId};
 use std::collections::BTreeMap;
 
-/// An attempt from the policy's decision to its end.
+/// An attempt, from the policy's decision until it ends.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The worker it goes to.
+    /// The worker that the attempt is sent to.
     pub(super) worker: WorkerId,
-    /// When its response is no longer waited for.
+    /// When the attempt times out.
     pub(super) deadline: Time,
-    /// When it was admitted to be written, and its time limit was encoded.
+    /// When the write was admitted and the time limit encoded.
     pub(super) write_began_at: Option<Time>,
     started_at: Time,
-    /// The load report that came with the response; empty without one.
+    /// The load report in the response; empty if there was none.
     load_report: Vec<f32>,
 }
 
 impl Attempt {
-    /// An attempt that the policy has just decided on.
+    /// Creates an attempt that has not been written yet.
     pub(super) fn new(worker: WorkerId, started_at: Time, deadline: Time) -> Attempt {
         Attempt {
             worker,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The attempt's end, as the policy is notified of it.
+    /// Converts the ended attempt into the outcome that the policy is notified of.
     pub(super) fn into_outcome(
         self,
         now: Time,
@@ -58,17 +58,17 @@
 }
 
 impl AttemptTable {
-    /// How many attempts have not ended.
+    /// Returns the number of attempts that have not ended.
     pub(super) fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether this attempt has not ended.
+    /// Returns whether this attempt is in the table, that is, has not ended.
     pub(super) fn contains(&self, id: AttemptId) -> bool {
         self.attempts.contains_key(&id)
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt that has not ended.
     pub(super) fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.attempts.get(&id)
     }
@@ -83,14 +83,14 @@
         self.attempts.remove(&id)
     }
 
-    /// Records that an attempt is being written from now on.
+    /// Records that the write of an attempt begins now.
     pub(super) fn begin_write(&mut self, now: Time, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.write_began_at = Some(now);
         }
     }
 
-    /// Keeps the load report that came with an attempt's response until the attempt ends.
+    /// Stores the load report of an attempt's response until the attempt ends.
     pub(super) fn record_load_report(&mut self, id: AttemptId, load_report: Vec<f32>) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.load_report = load_report;
--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: what starts them, and what becomes of them at their workers.
+//! The lifecycle of attempts: start, write, response, cancellation and timeout.
 
 use super::attempt_table::Attempt;
 use super::timers::Timer;
@@ -7,17 +7,17 @@
 use tracing::debug;
 
 impl Scheduler {
-    /// How many attempts are in flight or wait to be written.
+    /// Returns the number of attempts that are in flight or queued for writing.
     pub fn attempts_in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Whether an attempt is in flight or waits to be written.
+    /// Returns whether an attempt is in flight or queued for writing.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         self.attempts.contains(attempt)
     }
 
-    /// An attempt has been handed to the operating system completely.
+    /// Records that an attempt has been handed to the operating system completely.
     pub fn attempt_written(&mut self, now: Time, attempt: AttemptId) {
         self.check_written(now, attempt);
         if !self.attempts.contains(attempt) {
@@ -34,9 +34,11 @@
         }
     }
 
-    /// Takes the load report that came with an attempt's response; the response itself is to be reported
-    /// next. A load report that lacks a metric of the settings is ignored, since the policy knows the values
-    /// by position.
+    /// Records the load report in an attempt's response. The caller reports the response itself afterwards,
+    /// by [`Scheduler::attempt_ended`].
+    ///
+    /// A load report that lacks a metric of the settings is ignored, since the policy identifies values by
+    /// position.
     pub fn record_load_report(&mut self, attempt: AttemptId, report: &[ReportedMetric]) {
         let value_of = |name: &String| {
             let metric = report.iter().find(|metric| metric.name == *name);
@@ -48,7 +50,7 @@
         }
     }
 
-    /// An attempt has ended with a worker's response, or failed on the way.
+    /// Ends an attempt with the worker's response or with the failure of its exchange.
     pub fn attempt_ended(&mut self, now: Time, id: AttemptId, result: Result<WorkerResponse, ExchangeError>) {
         if !self.attempts.contains(id) {
             return;
@@ -69,14 +71,14 @@
         self.run_policy(now);
     }
 
-    /// An attempt was not written for a local reason: it was no longer admitted, or no connection could be
-    /// opened for it. Unlike a refused connection, this says nothing of the worker.
+    /// Ends an attempt that was not written for a local reason: its write was denied, or no connection could
+    /// be opened for it. Unlike a refused connection, this does not count against the worker.
     pub fn attempt_not_sent(&mut self, now: Time, attempt: AttemptId) {
         self.finish_attempt(now, attempt, AttemptStatus::NotSent);
         self.run_policy(now);
     }
 
-    /// Starts the next attempt of a request. It ends at the request's deadline at the latest.
+    /// Starts the next attempt of a request. Its timeout is limited to the request's deadline.
     pub(super) fn start_attempt(&mut self, now: Time, id: RequestId, worker: WorkerId, timeout: Span) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -103,7 +105,7 @@
         });
     }
 
-    /// Ends an attempt that has not ended at its worker, and has the worker cancel it.
+    /// Ends an attempt that may still be running on its worker, and has the worker cancel it.
     pub(super) fn cancel_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -115,7 +117,7 @@
         self.finish_attempt(now, id, status);
     }
 
-    /// Ends an attempt that has ended at its worker, or never reached it.
+    /// Removes an attempt and notifies the policy of its outcome.
     fn finish_attempt(&mut self, now: Time, id: AttemptId, status: AttemptStatus) {
         let Some(attempt) = self.attempts.remove(id) else {
             return;
