--- a/src/scheduler/load_order_table.rs
+++ b/src/scheduler/load_order_table.rs
@@ -5,28 +5,28 @@
 use crate::model::{FunctionId, LoadOutcome, Time, WorkerId};
 use std::collections::BTreeMap;
 
-/// A load order from the policy's decision to its end.
+/// A load order, from the policy's decision until it ends.
 #[derive(Debug)]
 pub(super) struct LoadOrder {
-    /// The worker it goes to.
+    /// The worker that the order is sent to.
     pub(super) worker: WorkerId,
     /// The function to load.
     pub(super) function: FunctionId,
-    /// How many instances are to be loaded at least.
+    /// Minimum number of loaded instances; 0 makes the order a query.
     pub(super) instances: u8,
-    /// When its result is no longer waited for.
+    /// When the order times out.
     pub(super) deadline: Time,
-    /// When the policy decided on it.
+    /// When the policy decided on the order.
     pub(super) started_at: Time,
 }
 
 impl LoadOrder {
-    /// Whether the order loads nothing and only asks how many instances are loaded.
+    /// Returns whether the order only queries how many instances are loaded.
     pub(super) fn is_query(&self) -> bool {
         self.instances == 0
     }
 
-    /// The order's end, as the policy is notified of it.
+    /// Returns the outcome that the policy is notified of.
     pub(super) fn outcome(&self, now: Time, result: LoadResult) -> LoadOutcome {
         LoadOutcome {
             worker: self.worker,
@@ -46,7 +46,7 @@
 }
 
 impl LoadOrderTable {
-    /// A load order that has not ended.
+    /// Returns a load order that has not ended.
     pub(super) fn get(&self, id: LoadOrderId) -> Option<&LoadOrder> {
         self.orders.get(&id)
     }
@@ -66,8 +66,8 @@
         self.recent_functions.record(now, function);
     }
 
-    /// Whether a client has requested the function of this order recently. A function that no client ever
-    /// requested must not be loaded.
+    /// Returns whether a client has recently requested the function of this order. A function that no client
+    /// has requested must not be loaded.
     pub(super) fn is_for_requested_function(&self, order: &LoadOrder) -> bool {
         self.recent_functions.contains(order.function)
     }
--- a/src/scheduler/load_orders.rs
+++ b/src/scheduler/load_orders.rs
@@ -1,4 +1,4 @@
-//! Load orders: what starts them, and what becomes of them at their workers.
+//! The lifecycle of load orders: start, response and timeout.
 
 use super::load_order_table::LoadOrder;
 use super::timers::Timer;
@@ -6,12 +6,12 @@
 use crate::model::{Event, FunctionId, LoadStatus, Time, WorkerId};
 
 impl Scheduler {
-    /// How many written load orders the rate limit remembers.
+    /// Returns the number of written load orders that the load rate limit keeps track of.
     pub fn load_orders_remembered(&self) -> usize {
         self.load_rate_limiter.load_orders_remembered()
     }
 
-    /// A load order has ended with a worker's response, or failed on the way.
+    /// Ends a load order with the worker's response or with the failure of its exchange.
     pub fn load_order_ended(
         &mut self,
         now: Time,
@@ -24,13 +24,13 @@
         self.run_policy(now);
     }
 
-    /// A load order was not written for a local reason; see [`Scheduler::attempt_not_sent`].
+    /// Ends a load order that was not written for a local reason; see [`Scheduler::attempt_not_sent`].
     pub fn load_order_not_sent(&mut self, now: Time, order: LoadOrderId) {
         self.finish_load_order(now, order, LoadResult::without_instances(LoadStatus::NotSent));
         self.run_policy(now);
     }
 
-    /// Orders a worker to load a function.
+    /// Starts a load order that has a worker load a function.
     pub(super) fn start_load_order(
         &mut self,
         now: Time,
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Ends a load order that got no response in time.
+    /// Ends a load order that has timed out.
     pub(super) fn time_out_load_order(&mut self, now: Time, id: LoadOrderId) {
         self.finish_load_order(now, id, LoadResult::without_instances(LoadStatus::Timeout));
     }
--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -1,12 +1,13 @@
-//! The rate limit on load orders: how many may be written in a window, given the requests received in it.
+//! The load rate limit: how many load orders may be written in a window, given the requests received in it.
 
 use crate::model::{LoadRateLimit, Span, Time};
 use std::collections::VecDeque;
 
-/// How long written load orders are remembered while there is no limit: a new configuration may bring one.
+/// Time for which written load orders are kept while no limit is configured, so that they count if a new
+/// configuration sets one.
 const RETENTION_WITHOUT_LIMIT: Span = Span::from_millis(60_000);
 
-/// Counts requests and load orders within the limit's window.
+/// A sliding-window limiter of load orders, by the requests received in the same window.
 #[derive(Debug, Default)]
 pub(super) struct LoadRateLimiter {
     requests: VecDeque<Time>,
@@ -14,12 +15,12 @@
 }
 
 impl LoadRateLimiter {
-    /// Records that a request has been received, accepted or not.
+    /// Records that a request has been received, whether it is accepted or not.
     pub(super) fn record_request(&mut self, now: Time) {
         self.requests.push_back(now);
     }
 
-    /// Whether one more load order may be written under this limit; if so, it is counted as written.
+    /// Returns whether another load order may be written under this limit. If so, it counts as written.
     pub(super) fn try_acquire(&mut self, now: Time, limit: Option<LoadRateLimit>) -> bool {
         let retention = limit.map_or(RETENTION_WITHOUT_LIMIT, |limit| limit.window);
         let oldest = now - retention;
@@ -31,14 +32,15 @@
         true
     }
 
-    /// Whether one more load order fits in the window, of which older load orders have been dropped.
+    /// Returns whether another load order fits in the window. The caller has dropped the load orders that
+    /// have left the window.
     fn has_capacity(&mut self, now: Time, limit: LoadRateLimit) -> bool {
         let window_start = now - limit.window;
         self.requests.retain(|received_at| *received_at > window_start);
         limit.allows(self.load_orders.len(), self.requests.len())
     }
 
-    /// Forgets requests that have left the limit's window; all of them without a limit.
+    /// Drops requests that have left the limit's window, or all requests if there is no limit.
     pub(super) fn forget_old_requests(&mut self, now: Time, limit: Option<LoadRateLimit>) {
         let Some(limit) = limit else {
             self.requests.clear();
@@ -53,7 +55,7 @@
         }
     }
 
-    /// How many written load orders are remembered.
+    /// Returns the number of written load orders that are kept.
     pub(super) fn load_orders_remembered(&self) -> usize {
         self.load_orders.len()
     }
--- a/src/scheduler/recent_functions.rs
+++ b/src/scheduler/recent_functions.rs
@@ -3,13 +3,14 @@
 use crate::model::{FunctionId, Span, Time};
 use std::collections::BTreeSet;
 
-/// How long one generation of functions is filled.
+/// Time after which a new generation begins.
 const GENERATION_DURATION: Span = Span::from_millis(60_000);
 
-/// Functions after which a new generation begins early: clients may name ever new ones.
+/// Number of functions in a generation at which a new one begins early. It bounds the memory, since clients
+/// can name any number of different functions.
 const GENERATION_CAPACITY: usize = 1 << 14;
 
-/// Two generations of requested functions: the one being filled and the one before it.
+/// A set of recently requested functions in two generations, the current and the previous one.
 #[derive(Debug, Default)]
 pub(super) struct RecentFunctions {
     current: BTreeSet<FunctionId>,
@@ -28,7 +29,7 @@
         self.current.insert(function);
     }
 
-    /// Whether a function was requested in one of the two generations.
+    /// Returns whether a function was requested in one of the two generations.
     pub(super) fn contains(&self, function: FunctionId) -> bool {
         self.current.contains(&function) || self.previous.contains(&function)
     }
