--- a/src/scheduler/health_check_table.rs
+++ b/src/scheduler/health_check_table.rs
@@ -4,21 +4,21 @@
 use crate::model::{Span, Time, WorkerId};
 use std::collections::BTreeMap;
 
-/// A health check without a response after this time has failed: the simulator's limit, with the 50 ms by
-/// which every time limit is longer on sockets.
+/// Timeout of a health check: the simulator's limit, plus the 50 ms by which every time limit is longer on
+/// sockets.
 const HEALTH_CHECK_TIMEOUT: Span = Span::from_millis(300);
 
 /// A health check that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthCheck {
-    /// The worker that is checked.
+    /// The checked worker.
     pub(super) worker: WorkerId,
-    /// When its response is no longer waited for.
+    /// When the health check times out.
     pub(super) deadline: Time,
 }
 
 impl HealthCheck {
-    /// A health check that the policy has just decided on.
+    /// Creates a health check that starts now.
     pub(super) fn new(worker: WorkerId, now: Time) -> HealthCheck {
         HealthCheck {
             worker,
--- a/src/scheduler/health_checks.rs
+++ b/src/scheduler/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: what starts them, and what becomes of them at their workers.
+//! The lifecycle of health checks: start, response and timeout.
 
 use super::health_check_table::HealthCheck;
 use super::timers::Timer;
@@ -6,7 +6,7 @@
 use crate::model::{Event, HealthCheckStatus, Time, WorkerId};
 
 impl Scheduler {
-    /// A health check has been answered, or failed on the way.
+    /// Ends a health check with the worker's response or with the failure of its exchange.
     pub fn health_check_ended(&mut self, now: Time, check: HealthCheckId, result: Result<(), ExchangeError>) {
         let status = match result {
             Ok(()) => HealthCheckStatus::Alive,
@@ -16,7 +16,7 @@
         self.run_policy(now);
     }
 
-    /// Asks a worker whether it is alive.
+    /// Starts a health check of a worker.
     pub(super) fn start_health_check(&mut self, now: Time, worker: WorkerId) {
         let id = HealthCheckId(self.allocate_exchange_number());
         let check = HealthCheck::new(worker, now);
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Ends a health check that got no response in time.
+    /// Ends a health check that has timed out.
     pub(super) fn time_out_health_check(&mut self, id: HealthCheckId) {
         self.finish_health_check(id, HealthCheckStatus::Timeout);
     }
--- a/src/scheduler/timers.rs
+++ b/src/scheduler/timers.rs
@@ -1,27 +1,28 @@
-//! The scheduler's timers: one for each open request, attempt, load order and health check, and those of the policy.
+//! The scheduler's timers: one for each open request, attempt, load order and health check, one for endpoint
+//! leases, and those of the policy.
 
 use super::{AttemptId, HealthCheckId, LoadOrderId, Scheduler};
 use crate::model::{AttemptStatus, Event, RequestId, Time};
 
-/// What a timer is for. Timers of the same expiry fire in the order of these variants.
+/// The purpose of a timer. Timers that expire at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The policy asked to be called again.
+    /// A timer that the policy has set.
     Policy,
-    /// The policy should have ended this request by now.
+    /// This request is overdue if the policy has not ended it.
     Request(RequestId),
-    /// This attempt has run out of time.
+    /// This attempt has timed out.
     Attempt(AttemptId),
-    /// This load order has run out of time.
+    /// This load order has timed out.
     LoadOrder(LoadOrderId),
-    /// This health check has run out of time.
+    /// This health check has timed out.
     HealthCheck(HealthCheckId),
-    /// The endpoint list, or a worker's lease, may have become stale.
+    /// The endpoint list may have become stale, or a worker's lease may have expired.
     EndpointLeases,
 }
 
 impl Scheduler {
-    /// When [`Scheduler::fire_timers`] is to be called next.
+    /// Returns when [`Scheduler::fire_timers`] must be called next.
     pub fn next_timer(&self) -> Option<Time> {
         self.timers.next_expiry()
     }
@@ -34,7 +35,7 @@
         self.run_policy(now);
     }
 
-    /// Does what the timer was set for.
+    /// Performs the action of an expired timer.
     fn fire_timer(&mut self, now: Time, timer: Timer) {
         match timer {
             Timer::Policy => self.pending_events.push_back(Event::TimerFired),
