--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -1,44 +1,46 @@
-//! Invariants that are checked while the scheduler runs. A violation is counted and logged with its ids, and changes
-//! nothing else: it occurs only where a guard has failed.
+//! Invariants that are checked at run time. A violation is counted and logged with its ids, without further
+//! effect.
 //!
-//! The guards are [`request_admission`](super::request_admission) for what is started, and
-//! [`write_admission`](super::write_admission) for what is sent and repeated. What is closed is guarded by the reactor,
-//! which asks a client's connection to answer its open requests before it closes it.
+//! A violation means that an earlier check has admitted what it must deny. The earlier checks are
+//! [`request_admission`](super::request_admission) for accepted requests and
+//! [`write_admission`](super::write_admission) for written and repeated attempts. For closed connections it
+//! is the reactor, which has a client connection answer its open requests before it closes the connection.
 
 use super::{AttemptId, RequestOrigin, Scheduler};
 use crate::model::{RequestId, Span, Time};
 use thiserror::Error;
 use tracing::error;
 
-/// A final response that is later than this after its request's deadline is lost: half a second (page STANDING), and the
-/// 50 ms by which every time limit is longer on sockets (page PROTOCOL).
+/// Time after a request's deadline from which its final response counts as lost: half a second (page
+/// STANDING), plus the 50 ms by which every time limit is longer on sockets (page PROTOCOL).
 const RESPONSE_SLACK: Span = Span::from_millis(550);
-/// The time limit that a command gives to its worker may exceed what the client has left by so much (terms of
-/// 2026-12-02).
+/// Maximum time by which the time limit given to a worker may exceed the client's remaining time (page
+/// TERMS).
 const TIME_LIMIT_SLACK: Span = Span::from_millis(150);
 
-/// An invariant that does not hold, and for what.
+/// A violated invariant, with the id of the request, attempt or origin concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A connection was closed by this process with a request open on it.
+    /// This process closed a client connection that had an open request.
     #[error("closed with a request open")]
     ClosedWithOpenRequest(RequestOrigin),
-    /// A final response was given too late.
+    /// A final response was sent too late.
     #[error("final response too late")]
     LateResponse(RequestId),
-    /// The last byte of an attempt was written after the attempt had ended: its client may have left.
+    /// The last byte of an attempt was written after the attempt had ended, possibly because its client had
+    /// left.
     #[error("written after its end")]
     WrittenAfterEnd(AttemptId),
-    /// The last byte of a repeat was written at a time when the request must not run again.
+    /// The last byte of a repeated attempt was written when the request must not run again.
     #[error("repeat not permitted")]
     RepeatNotPermitted(AttemptId),
-    /// A command gave its worker a time limit that the client no longer has.
+    /// A worker was given a time limit that exceeds the client's remaining time.
     #[error("time limit too long")]
     TimeLimitTooLong(AttemptId),
 }
 
 impl Violation {
-    /// Logs the violation under its kind, with the ids of what it concerns.
+    /// Logs the violation with its kind and ids.
     fn log(self) {
         let kind = self.to_string();
         match self {
@@ -60,7 +62,7 @@
 }
 
 impl Scheduler {
-    /// Counts and logs a violation, with the ids of what it concerns.
+    /// Counts and logs a violation.
     pub fn record_violation(&mut self, now: Time, violation: Violation) {
         self.counters.violations += 1;
         if self.admits_log_line(now) {
@@ -68,21 +70,21 @@
         }
     }
 
-    /// Checks a final response at the moment at which it is given.
+    /// Checks the time of a final response when it is sent.
     pub(super) fn check_response_time(&mut self, now: Time, id: RequestId, deadline: Time) {
         if now > deadline + RESPONSE_SLACK {
             self.record_violation(now, Violation::LateResponse(id));
         }
     }
 
-    /// Checks an attempt at the moment at which its last byte has been handed to the operating system.
+    /// Checks an attempt when its last byte has been handed to the operating system.
     pub(super) fn check_written(&mut self, now: Time, id: AttemptId) {
         if let Some(violation) = self.find_write_violation(now, id) {
             self.record_violation(now, violation);
         }
     }
 
-    /// What is wrong with an attempt whose last byte has been written, if anything is.
+    /// Returns the invariant that an attempt violates whose last byte has been written.
     fn find_write_violation(&self, now: Time, id: AttemptId) -> Option<Violation> {
         let Some(attempt) = self.attempts.get(id) else {
             return Some(Violation::WrittenAfterEnd(id));
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -1,10 +1,10 @@
-//! The last check before the first byte of an attempt or load order goes to a worker.
+//! The last check before the first byte of an attempt or load order is written to a worker.
 //!
-//! The policy decides now, but a command may wait: for its connection to come up, or behind others on it.
-//! Meanwhile its request may end, its worker may begin to drain, the deduplication window of its key may
-//! pass, its deadline may come, or other load orders may use up the rate limit. So the backend asks here
-//! immediately before it writes, and reports a command that is denied as not sent. It asks again before it writes the
-//! rest of an attempt that the system did not take at once.
+//! A command may be queued after the policy has decided on it, until its connection is established or behind
+//! other commands. Meanwhile its request may end, its worker may begin to drain, the deduplication window of
+//! its key or its deadline may pass, or other load orders may use up the rate limit. The backend therefore
+//! asks for admission immediately before it writes, and reports a denied command as not sent. It asks again
+//! before it writes the rest of an attempt that the operating system accepted only in part.
 
 use super::request_table::OpenRequest;
 use super::{AttemptId, LoadOrderId, Scheduler};
@@ -13,32 +13,33 @@
 use thiserror::Error;
 use tracing::debug;
 
-/// The retry of a keyed request must be written this long before its workers forget the key.
+/// Minimum time between the write of a keyed request's retry and the end of the deduplication window, after
+/// which workers may have forgotten the key.
 const DEDUPLICATION_MARGIN: Span = Span::from_millis(50);
 
-/// The last byte of an attempt must follow its first within this time: its time limit was encoded with the first, and
-/// must not exceed what the client has left by more than 150 ms (terms of 2026-12-02).
+/// Maximum time between the first and the last byte of an attempt. The time limit is encoded with the first
+/// byte and must not exceed the client's remaining time by more than 150 ms (page TERMS).
 const MAX_WRITE_TIME: Span = Span::from_millis(100);
 
-/// Why an attempt or load order must not be written any more.
+/// The reason why an attempt or load order must not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum WriteDenied {
-    /// The attempt or load order has ended: it ran out of time, or the policy cancelled it.
+    /// The attempt or load order has timed out or been cancelled.
     #[error("the command has ended")]
     CommandEnded,
-    /// Its response would come too late.
+    /// The deadline has passed, so the response would come too late.
     #[error("its deadline has passed")]
     DeadlinePassed,
-    /// The request has its final response, or its client has left.
+    /// The request has its final response, or its client has cancelled it.
     #[error("its request has ended")]
     RequestEnded,
-    /// The request is not idempotent and an earlier attempt may have run.
+    /// The request is not idempotent, and an earlier attempt may have run.
     #[error("an earlier attempt may have run")]
     MayHaveRun,
-    /// An earlier attempt may have run and the workers may have forgotten its key.
+    /// An earlier attempt may have run, and the workers may have forgotten the idempotency key.
     #[error("the deduplication window has passed")]
     DeduplicationWindowPassed,
-    /// The worker must not be given new work.
+    /// The worker must not receive new work.
     #[error(transparent)]
     WorkerUnavailable(#[from] WorkerUnavailable),
     /// No client has requested the function recently.
@@ -50,7 +51,7 @@
 }
 
 impl Scheduler {
-    /// Whether an attempt may still be written at `now`; if so, its write has begun.
+    /// Returns whether an attempt may still be written at `now`. If so, its write counts as begun.
     pub fn admits_write(&mut self, now: Time, attempt: AttemptId) -> bool {
         match self.check_attempt(now, attempt) {
             Ok(()) => {
@@ -70,9 +71,11 @@
         }
     }
 
-    /// Whether the write of an attempt may go on, of which the operating system did not take all at once. The same
-    /// limits hold as for a new write, because the worker begins with the last byte. Only that its worker is draining
-    /// by now does not count: the first byte came before that.
+    /// Returns whether the rest of a partially written attempt may be written.
+    ///
+    /// The limits of a new write apply, because the worker starts the request only when it has the last
+    /// byte. The one exception is a worker that has begun to drain meanwhile: the first byte was written
+    /// before.
     pub fn admits_write_continuation(&self, now: Time, id: AttemptId) -> bool {
         let (Some(attempt), Some(request)) = (self.attempts.get(id), self.requests.get(id.request)) else {
             return false;
@@ -83,7 +86,7 @@
         within_write_time && now < attempt.deadline && check_retry(now, request).is_ok()
     }
 
-    /// Whether a load order may still be written at `now`; if so, it counts as written.
+    /// Returns whether a load order may still be written at `now`. If so, it counts as written.
     pub fn admits_load_order(&mut self, now: Time, order: LoadOrderId) -> bool {
         match self.check_load_order(now, order) {
             Ok(()) => true,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Whether an attempt may be written, and why not.
+    /// Checks whether an attempt may be written.
     pub(super) fn check_attempt(&self, now: Time, id: AttemptId) -> Result<(), WriteDenied> {
         let attempt = self.attempts.get(id).ok_or(WriteDenied::CommandEnded)?;
         if now >= attempt.deadline {
@@ -106,7 +109,7 @@
         self.check_worker(now, attempt.worker)
     }
 
-    /// Whether a load order may be written, and why not. If it may, it is counted against the rate limit.
+    /// Checks whether a load order may be written. If so, it counts against the rate limit.
     pub(super) fn check_load_order(&mut self, now: Time, id: LoadOrderId) -> Result<(), WriteDenied> {
         let order = self.load_orders.get(id).ok_or(WriteDenied::CommandEnded)?;
         if order.is_query() {
@@ -125,9 +128,11 @@
         Ok(())
     }
 
-    /// A change of the endpoint list holds from the moment it was published, which may be long before it
-    /// arrived here. So no grace period applies: nothing is written once a worker is known to drain. Since discovery
-    /// may be out of reach, the policy is asked again whether what is known of the worker still holds.
+    /// Checks whether a worker may receive new work.
+    ///
+    /// A change of the endpoint list takes effect when it is published, possibly long before it is received
+    /// here. Therefore nothing is written once a worker is known to be draining, without a grace period. The
+    /// policy also checks whether the worker's lease is still valid, since discovery may be unreachable.
     pub(super) fn check_worker(&self, now: Time, worker: WorkerId) -> Result<(), WriteDenied> {
         Ok(self.policy.check_available(now, worker)?)
     }
@@ -139,8 +144,8 @@
     }
 }
 
-/// Whether a request may be written again if an earlier attempt may have run. The deduplication window counts
-/// from the first such attempt, not from the latest.
+/// Checks whether a request may be written although an earlier attempt may have run. The deduplication
+/// window starts at the first such attempt, not at the latest.
 fn check_retry(now: Time, request: &OpenRequest) -> Result<(), WriteDenied> {
     let Some(first_written_at) = request.first_written_at() else {
         return Ok(());
