--- a/src/scheduler/endpoint_updates.rs
+++ b/src/scheduler/endpoint_updates.rs
@@ -1,6 +1,6 @@
-//! Updates of the endpoint list, and what is logged and counted while the list is too old to go by.
+//! Endpoint updates, and the logging and counting of a stale endpoint list and expired leases.
 //!
-//! The policy owns the list and decides for how long it holds; see its module `endpoint_lease`.
+//! The policy owns the endpoint list and decides how long it is valid; see its module `endpoint_lease`.
 
 use super::Scheduler;
 use super::timers::Timer;
@@ -11,44 +11,45 @@
 use std::collections::BTreeSet;
 use tracing::{debug, info, warn};
 
-/// Time between two looks at the workers' leases while the endpoint list is stale.
+/// Time between two checks of the workers' leases while the endpoint list is stale.
 const LEASE_CHECK_INTERVAL: Span = Span::from_millis(100);
 
-/// Looks for what becomes stale, and reports it.
+/// Tracks when to check for a stale endpoint list and expired leases, and what has been reported.
 #[derive(Debug, Default)]
 pub(super) struct LeaseMonitor {
-    /// When to look next; none while heartbeats come.
+    /// Time of the next check; `None` while heartbeats arrive.
     next_check: Option<Time>,
-    /// What has been reported; none while the endpoint list is not stale.
+    /// The report on the stale endpoint list; `None` while the list is not stale.
     report: Option<StaleListReport>,
 }
 
 #[cfg(test)]
 impl LeaseMonitor {
-    /// When it looks next.
+    /// Returns the time of the next check.
     pub(super) fn next_check(&self) -> Option<Time> {
         self.next_check
     }
 }
 
-/// What has been logged of a time in which the endpoint list is stale.
+/// What has been logged while the endpoint list is stale.
 #[derive(Debug)]
 struct StaleListReport {
     stale_since: Time,
-    /// Requests rejected until then for want of a confirmed worker.
+    /// Value of the counter `requests_rejected_unconfirmed` when the list became stale.
     earlier_rejections: u64,
-    /// Workers whose leases had expired at the last look.
+    /// Workers whose leases had expired at the last check.
     expired: BTreeSet<WorkerId>,
 }
 
 impl Scheduler {
-    /// Applies an update of the endpoint list.
+    /// Applies an endpoint update.
     pub fn update_endpoints(&mut self, now: Time, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         self.counters.endpoint_updates += 1;
         self.handle_event(now, Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// Takes in what became of the watch of the endpoint list at `at`, which may be before `now`.
+    /// Handles a change of the status of the endpoint list's watch. The change happened at `at`, possibly
+    /// before `now`.
     pub fn watch_changed(&mut self, now: Time, at: Time, status: WatchStatus) {
         if self.policy.watch_changed(at, status) {
             self.handle_event(now, Event::TimerFired);
@@ -56,7 +57,7 @@
         if !self.policy.is_list_stale(now) {
             self.report_confirmed_list(now);
         }
-        // While heartbeats come, the list does not become stale, and no timer is needed.
+        // While heartbeats arrive, the list does not become stale and no timer is needed.
         if matches!(status, WatchStatus::Requested | WatchStatus::Disconnected)
             && let Some(stale_at) = self.policy.list_stale_at()
         {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Reports what has become stale, and looks again as long as something may.
+    /// Reports a stale endpoint list and expired leases. While the list is stale, schedules the next check.
     pub(super) fn check_endpoint_leases(&mut self, now: Time) {
         self.lease_monitor.next_check = None;
         if !self.policy.is_list_stale(now) {
@@ -77,7 +78,7 @@
         self.schedule_lease_check(now + LEASE_CHECK_INTERVAL);
     }
 
-    /// Records why a request is rejected.
+    /// Counts and logs the cause of a request's rejection.
     pub(super) fn record_rejection(&mut self, id: RequestId, cause: RejectionCause) {
         if cause == RejectionCause::NoConfirmedWorker {
             self.counters.requests_rejected_unconfirmed += 1;
@@ -111,7 +112,7 @@
         );
     }
 
-    /// Reports the workers whose leases have expired since the last look.
+    /// Reports the workers whose leases have expired since the last check.
     fn report_expired_leases(&mut self, now: Time) {
         let expired = self.policy.expired_leases(now);
         let Some(report) = &mut self.lease_monitor.report else {
--- a/src/scheduler/log_limiter.rs
+++ b/src/scheduler/log_limiter.rs
@@ -1,16 +1,16 @@
-//! A rate limit on log lines that clients cause.
+//! A rate limit on log lines that clients can cause.
 
 use super::Scheduler;
 use crate::model::{Span, Time};
 
-/// The period over which lines are counted.
+/// Length of the window in which lines are counted.
 const WINDOW: Span = Span::from_millis(1_000);
 
-/// Lines that may be logged in one window.
+/// Maximum number of lines logged in one window.
 const LINES_PER_WINDOW: u32 = 10;
 
-/// Counts log lines in windows of one second. Clients at full speed must not keep the scheduler busy with
-/// writing its log, and waiting for whoever reads it.
+/// A limiter of log lines with fixed windows of one second. It keeps clients that send at full speed from
+/// making the scheduler spend its time on writing the log and waiting for the log's reader.
 #[derive(Debug, Default)]
 pub(super) struct LogLimiter {
     window_start: Time,
@@ -18,7 +18,7 @@
 }
 
 impl LogLimiter {
-    /// Whether one more line may be logged.
+    /// Returns whether another line may be logged, and counts it.
     pub(super) fn try_acquire(&mut self, now: Time) -> bool {
         if now - self.window_start >= WINDOW {
             self.window_start = now;
@@ -30,8 +30,8 @@
 }
 
 impl Scheduler {
-    /// Whether a log line that a client has caused may be written. Ten lines a second are admitted; those beyond
-    /// are only counted.
+    /// Returns whether a log line that a client has caused may be written. Ten lines per second are
+    /// admitted; further lines are only counted.
     pub fn admits_log_line(&mut self, now: Time) -> bool {
         let allowed = self.log_limiter.try_acquire(now);
         if !allowed {
