--- a/src/scheduler/counters.rs
+++ b/src/scheduler/counters.rs
@@ -1,4 +1,4 @@
-//! Running totals of what the scheduler and the connections round it have done.
+//! Counters of the scheduler and of its connections.
 
 use super::Outcome;
 use crate::model::AttemptStatus;
@@ -7,7 +7,7 @@
 /// Declares the counters in the order in which they are printed, each under its own name.
 macro_rules! counters {
     ($($(#[$doc:meta])* $field:ident,)*) => {
-        /// Running totals since the start of the program.
+        /// Counts of events since the start of the program.
         ///
         /// They are displayed on one line: `counters`, then `name=value` for each.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -28,17 +28,18 @@
 counters! {
     /// Requests received.
     requests_received,
-    /// Final responses 'served'.
+    /// Final responses with the outcome 'served'.
     responses_served,
-    /// Final responses 'rejected'.
+    /// Final responses with the outcome 'rejected'.
     responses_rejected,
-    /// Final responses 'failed'.
+    /// Final responses with the outcome 'failed'.
     responses_failed,
-    /// Requests rejected by their frontend and not submitted: too many open on the connection.
+    /// Requests that the frontend rejected without submitting them, because too many were open on the
+    /// connection.
     frontend_rejected,
-    /// Requests failed by their frontend and not submitted: fields that cannot be used.
+    /// Requests that the frontend failed without submitting them, because of invalid fields.
     frontend_failed,
-    /// Requests that the scheduler failed itself because the policy had not ended them by their deadline.
+    /// Requests that the scheduler failed because the policy had not ended them in time.
     requests_overdue,
     /// Requests cancelled by their clients, explicitly or by closing the connection.
     requests_cancelled,
@@ -46,70 +47,71 @@
     attempts_written,
     /// Attempts that succeeded.
     attempts_ok,
-    /// Attempts answered with an error.
+    /// Attempts that ended with an error response or an unusable response.
     attempts_error,
     /// Attempts rejected by a worker at capacity.
     attempts_at_capacity,
-    /// Attempts that ran out of time.
+    /// Attempts that timed out.
     attempts_timeout,
-    /// Attempts whose connection never came up, or that were never written completely.
+    /// Attempts whose connection was not established, or that were not written completely.
     attempts_connect_failed,
     /// Attempts whose connection broke after they had been written.
     attempts_reset,
-    /// Attempts cancelled by the policy.
+    /// Attempts that the policy cancelled.
     attempts_cancelled,
-    /// Attempts that had expired when they reached their worker, which did not run them.
+    /// Attempts that a worker did not run because they had expired.
     attempts_expired,
-    /// Attempts that never left this process: they were no longer admitted, or no connection could be begun.
+    /// Attempts that were never sent because their write was denied or no connection could be opened.
     attempts_not_sent,
-    /// Attempts that found their function not loaded.
+    /// Attempts that a worker did not run because the function was not loaded.
     attempts_miss,
-    /// Load orders that passed the last check before they were written.
+    /// Load orders admitted by the last check before their write.
     load_orders_written,
-    /// Load orders held back by the rate limit at that check.
+    /// Load orders denied by the load rate limit at that check.
     load_orders_rate_limited,
-    /// Health checks of silent workers.
+    /// Health checks started for silent workers.
     health_checks,
-    /// Health checks that failed or got no response in time.
+    /// Health checks that failed or timed out.
     health_checks_failed,
-    /// Updates of the endpoint list.
+    /// Endpoint updates received.
     endpoint_updates,
-    /// Times that the endpoint list has become stale.
+    /// Number of times that the endpoint list became stale.
     endpoint_list_stale,
-    /// Leases of workers that expired while the endpoint list was stale.
+    /// Worker leases that expired while the endpoint list was stale.
     worker_leases_expired,
-    /// Requests rejected because no worker was confirmed to take new work.
+    /// Requests rejected because no worker was confirmed to accept new work.
     requests_rejected_unconfirmed,
-    /// Attempts and load orders held back at the last check before their write, because their worker was not confirmed
-    /// to take new work.
+    /// Attempts and load orders denied at the last check before their write because their worker was not
+    /// confirmed to accept new work.
     writes_denied_unconfirmed,
-    /// Connections of clients accepted.
+    /// Client connections accepted.
     client_connections_accepted,
-    /// Connections opened to workers.
+    /// Worker connections opened.
     worker_connections_opened,
-    /// Malformed input of clients: connections of frames closed for it, and JSON-RPC lines and requests answered with an
-    /// error.
+    /// Occurrences of malformed client input: frame connections closed because of it, and JSON-RPC lines and
+    /// requests answered with an error.
     client_connections_malformed,
-    /// Log lines about clients suppressed because too many came in one second.
+    /// Log lines that clients caused and that the log limiter suppressed.
     log_lines_suppressed,
-    /// Messages of workers or of the discovery service that could not be decoded.
+    /// Messages from workers or the discovery service that could not be decoded.
     decode_errors,
-    /// Panics caught at a connection.
+    /// Panics caught in the event loop, while a connection or another part of the work was handled.
     panics,
-    /// VRRP advertisements dropped as malformed.
+    /// Malformed VRRP advertisements dropped.
     vrrp_advertisements_dropped,
-    /// Open requests failed because their client's connection could not go on.
+    /// Open requests failed because their client connection could not continue.
     requests_failed_with_connection,
-    /// Times that the system failed to register a connection for events; it is asked again.
+    /// Failed registrations of a connection for events; each is retried.
     event_registrations_failed,
-    /// Clients accepted beyond the descriptors for clients, whose requests are rejected.
+    /// Client connections accepted beyond the file descriptors reserved for clients; their requests are
+    /// rejected.
     clients_shed,
-    /// Invariants found violated at run time; the log has the kind of each.
+    /// Invariant violations at run time; the log has the kind of each.
     violations,
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
+    /// Counts an ended attempt by its status.
     pub(super) fn count_attempt_end(&mut self, status: AttemptStatus) {
         let counter = match status {
             AttemptStatus::Ok => &mut self.attempts_ok,
@@ -126,7 +128,7 @@
         *counter += 1;
     }
 
-    /// Counts a final response.
+    /// Counts a final response by its outcome.
     pub(super) fn count_response(&mut self, outcome: &Outcome) {
         let counter = match outcome {
             Outcome::Served(_) => &mut self.responses_served,
@@ -136,7 +138,7 @@
         *counter += 1;
     }
 
-    /// Counts a request that its frontend has answered by itself.
+    /// Counts a request that its frontend answered without submitting it.
     pub(super) fn count_frontend_response(&mut self, outcome: &Outcome) {
         let counter = match outcome {
             Outcome::Rejected { .. } => &mut self.frontend_rejected,
