--- a/src/scheduler/tests/attempts.rs
+++ b/src/scheduler/tests/attempts.rs
@@ -1,9 +1,9 @@
-//! What the policy is notified of when attempts end.
+//! Attempt outcomes that the policy is notified of, and the numbers of exchanges.
 
 use super::*;
 use crate::model::LoadMetric;
 
-/// A scheduler whose workers report two metrics, with three further workers.
+/// Creates a scheduler with three additional workers, whose workers report two load metrics.
 fn scheduler_with_load_metrics() -> Scheduler {
     let mut scheduler = test_scheduler();
     scheduler.site.load_metric_names = vec!["inflight".into(), "util".into()];
@@ -23,8 +23,9 @@
     }
 }
 
-/// rennes-campus, case4356: load reports got lost between the codec and the policy, and a hundred schedulers
-/// went on sending to a worker that reported its queue to each of them.
+/// Guards against load reports being lost between the codec and the policy. In the recording
+/// rennes-campus, case4356, a hundred schedulers kept sending to a worker that reported its queue to each of
+/// them.
 #[test]
 fn a_load_report_reaches_the_policy_unless_a_value_is_missing() {
     let cases = [
@@ -42,8 +43,8 @@
     }
 }
 
-/// An attempt that the scheduler itself held back says nothing of the worker. The policy must not take the
-/// worker for one that refuses connections, to which nothing is sent for a while.
+/// An attempt that the scheduler itself denied does not count against its worker. The policy must not treat
+/// the worker like one that refuses connections, which receives no attempts for a while.
 #[test]
 fn an_attempt_that_was_not_sent_does_not_penalize_its_worker() {
     let mut scheduler = test_scheduler();
@@ -59,7 +60,7 @@
     assert_ne!(third.worker, first.worker, "it refused a connection");
 }
 
-/// The backend derives correlation ids from both on the same connections.
+/// The backend derives correlation ids on the same connections from both numbers, so they must differ.
 #[test]
 fn load_orders_and_health_checks_are_numbered_in_one_sequence() {
     let mut scheduler = test_scheduler();
--- a/src/scheduler/tests/counters.rs
+++ b/src/scheduler/tests/counters.rs
@@ -1,4 +1,4 @@
-//! The counters as operators read them.
+//! The printed form of the counters, which operators read.
 
 use super::*;
 
--- a/src/scheduler/tests/endpoint_updates.rs
+++ b/src/scheduler/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The state of each worker on the endpoint list, as a write to it is admitted or denied, and the age of the list.
+//! Admission of writes by the state of the worker on the endpoint list and by the age of the list.
 
 use super::*;
 use crate::model::WatchStatus;
@@ -66,8 +66,8 @@
     }
 }
 
-/// Attempts and load orders that waited for their connection while the list became stale must not be written, and the
-/// log and the counters say why.
+/// Attempts and load orders that are queued while the endpoint list becomes stale must not be written, and
+/// are counted as denied for this reason.
 #[test]
 fn commands_to_an_unconfirmed_worker_are_not_written() {
     let mut scheduler = test_scheduler();
@@ -75,7 +75,7 @@
     let order = start_load_order(&mut scheduler, at_millis(0));
     scheduler.watch_changed(at_millis(0), at_millis(0), WatchStatus::Confirmed);
     scheduler.watch_changed(at_millis(100), at_millis(100), WatchStatus::Disconnected);
-    // 2 s after the end of the connection, and most of the default grace period of 500 ms.
+    // The lease ends 2 s after the disconnect plus 90% of the default grace period of 500 ms.
     let last_admitted = at_millis(2_549);
     let stale_at = at_millis(2_550);
     assert!(scheduler.admits_write(last_admitted, sent.id));
--- a/src/scheduler/tests/final_response.rs
+++ b/src/scheduler/tests/final_response.rs
@@ -1,8 +1,8 @@
-//! The guarantee of exactly one final response.
+//! The guarantee that each request gets exactly one final response.
 
 use super::*;
 
-/// Nothing that goes wrong in the policy may leave a request without a final response.
+/// A fault in the policy must not leave a request without a final response.
 #[test]
 fn a_request_that_the_policy_never_ends_fails_after_its_deadline() {
     let mut scheduler = test_scheduler();
@@ -48,7 +48,7 @@
     assert!(matches!(&commands[..], [Command::Respond { response, .. }] if is_failure(response)));
 }
 
-/// The client is gone: a final response would reach whoever uses its connection next.
+/// The client no longer waits for the request, so a response could reach whoever uses the connection next.
 #[test]
 fn a_cancelled_request_gets_no_final_response() {
     let mut scheduler = test_scheduler();
--- a/src/scheduler/tests/invariants.rs
+++ b/src/scheduler/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks at run time count what is broken, and nothing else.
+//! The runtime checks count each violation and nothing else.
 
 use super::*;
 
--- a/src/scheduler/tests/load_rate_limiter.rs
+++ b/src/scheduler/tests/load_rate_limiter.rs
@@ -17,13 +17,16 @@
     assert!(limiter.try_acquire(at_millis(0), LIMIT), "the burst");
     assert!(!limiter.try_acquire(at_millis(0), LIMIT));
     limiter.record_request(at_millis(1));
-    assert!(!limiter.try_acquire(at_millis(1), LIMIT), "half an order is none");
+    assert!(
+        !limiter.try_acquire(at_millis(1), LIMIT),
+        "half an order is not enough"
+    );
     limiter.record_request(at_millis(1));
     assert!(limiter.try_acquire(at_millis(1), LIMIT));
     assert!(!limiter.try_acquire(at_millis(1), LIMIT));
 }
 
-/// A load order that is exactly one window old still counts against the limit.
+/// A load order that was written exactly one window ago still counts against the limit.
 #[test]
 fn load_orders_leave_the_window() {
     let mut limiter = LoadRateLimiter::default();
@@ -32,7 +35,7 @@
     assert!(limiter.try_acquire(at_millis(101), LIMIT));
 }
 
-/// A request that is exactly one window old no longer counts for further load orders.
+/// A request that was received exactly one window ago no longer allows further load orders.
 #[test]
 fn requests_leave_the_window() {
     for (now, expected) in [(at_millis(99), 2), (at_millis(100), 1)] {
@@ -45,7 +48,7 @@
     }
 }
 
-/// A new configuration may bring a limit, under which the orders written before count.
+/// A new configuration may set a limit, and load orders written before then count against it.
 #[test]
 fn without_a_limit_load_orders_are_remembered_for_a_while() {
     let mut limiter = LoadRateLimiter::default();
@@ -55,10 +58,10 @@
     assert_eq!(limiter.load_orders_remembered(), 3);
     assert!(!limiter.try_acquire(at_millis(10), LIMIT));
     assert!(limiter.try_acquire(at_millis(60_003), None));
-    assert_eq!(limiter.load_orders_remembered(), 1, "none is remembered for ever");
+    assert_eq!(limiter.load_orders_remembered(), 1, "none is kept indefinitely");
 }
 
-/// Nothing would ever drop them: they have no window.
+/// Without a limit there is no window, so nothing would ever drop the requests.
 #[test]
 fn without_a_limit_requests_are_not_remembered() {
     let mut limiter = LoadRateLimiter::default();
--- a/src/scheduler/tests/log_lines.rs
+++ b/src/scheduler/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The lines that the scheduler logs, by which an engineer follows a request.
+//! The log lines by which an operator traces a request.
 
 use super::*;
 use crate::logging::tests::capture::captured_log;
--- a/src/scheduler/tests/mod.rs
+++ b/src/scheduler/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler that need its private state, one file a concern. Support code stands here.
+//! Tests of the scheduler that need its private state, one file for each concern, and their support code.
 
 mod attempts;
 mod counters;
@@ -25,8 +25,8 @@
 const KEYED_CLASS: &str = "keyed";
 const NON_IDEMPOTENT_CLASS: &str = "non-idempotent";
 
-/// Settings with a class of each idempotency, a deduplication window of 1 s, and a limit on load orders of 3
-/// and 30% of the requests in 5 s.
+/// Settings with one class for each idempotency, a deduplication window of 1 s, and a load rate limit of 3
+/// plus 30% of the requests in 5 s.
 const SITE: &str = r#"{"fleetSize": 1, "index": 0, "tickNs": 2000000, "classes": [
     {"name": "idempotent", "deadlineNs": 3000000000, "effect": "retryable", "objectiveNs": 1000000000},
     {"name": "keyed", "deadlineNs": 3000000000, "effect": "dedup", "group": "all",
@@ -46,12 +46,12 @@
 /// The deadline of all requests.
 const DEADLINE: Time = at_millis(3000);
 
-/// A time on the tests' clock, which does not start at zero.
+/// Returns a time on the tests' clock, which does not start at zero.
 const fn at_millis(millis: u64) -> Time {
     Time(1_000_000_000_000 + millis * 1_000_000)
 }
 
-/// A scheduler under [`SITE`] with two workers that are ready.
+/// Creates a scheduler with the settings [`SITE`] and two ready workers.
 fn test_scheduler() -> Scheduler {
     let mut scheduler = Scheduler::new(parse_site(SITE.as_bytes()).unwrap(), 7);
     let endpoint = |n| Endpoint {
@@ -64,7 +64,7 @@
     scheduler
 }
 
-/// The endpoint list's entry of a worker in this state.
+/// Returns the endpoint list's entry of a worker in this state.
 fn endpoint_in_state(worker: WorkerId, state: EndpointState) -> Endpoint {
     Endpoint {
         worker,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Notifies the scheduler that only these workers have changed.
+/// Applies a delta update with these endpoints.
 fn update_endpoints(scheduler: &mut Scheduler, now: Time, endpoints: Vec<Endpoint>) {
     scheduler.update_endpoints(now, EndpointUpdateKind::Delta, endpoints);
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// A request whose correlation id is made from its stream.
+/// Returns a request whose correlation id is derived from its stream.
 fn client_request(stream: u64, class: &str) -> ClientRequest {
     ClientRequest {
         origin: origin(stream),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Submits a request; the commands that follow from it.
+/// Submits a request and returns the resulting commands.
 fn submit(scheduler: &mut Scheduler, stream: u64, class: &str) -> Vec<Command> {
     scheduler.submit(at_millis(0), client_request(stream, class));
     drain_commands(scheduler)
@@ -115,7 +115,7 @@
     worker: WorkerId,
 }
 
-/// The first attempt that the commands start.
+/// Returns the first attempt that the commands start.
 fn sent_attempt(commands: &[Command]) -> SentAttempt {
     let sent = commands.iter().find_map(|command| match command {
         Command::Send { attempt, worker, .. } => Some(SentAttempt {
@@ -127,7 +127,7 @@
     sent.expect("an attempt is sent")
 }
 
-/// The final responses among the commands.
+/// Returns the final responses among the commands.
 fn responses(commands: Vec<Command>) -> Vec<Response> {
     let response = |command| match command {
         Command::Respond { response, .. } => Some(response),
@@ -136,7 +136,7 @@
     commands.into_iter().filter_map(response).collect()
 }
 
-/// The end of an attempt whose connection broke after so much had been written.
+/// Returns the result of an attempt whose connection broke at this write progress.
 fn connection_lost(progress: WriteProgress) -> Result<WorkerResponse, ExchangeError> {
     Err(ExchangeError {
         progress,
@@ -144,7 +144,7 @@
     })
 }
 
-/// Has the scheduler execute an action to load one instance of [`FUNCTION`].
+/// Executes an action that loads one instance of [`FUNCTION`], and returns the load order.
 fn start_load_order(scheduler: &mut Scheduler, now: Time) -> LoadOrderId {
     let action = Action::Load {
         worker: LOADING_WORKER,
--- a/src/scheduler/tests/recent_functions.rs
+++ b/src/scheduler/tests/recent_functions.rs
@@ -1,4 +1,4 @@
-//! The functions that clients have requested recently.
+//! The set of recently requested functions.
 
 use super::*;
 use crate::scheduler::recent_functions::RecentFunctions;
@@ -18,7 +18,7 @@
     assert!(functions.contains(FunctionId(4)));
 }
 
-/// Clients may name ever new functions.
+/// Clients can name any number of different functions, and the set must stay bounded.
 #[test]
 fn a_full_generation_is_replaced_early() {
     const CAPACITY: u64 = 1 << 14;
--- a/src/scheduler/tests/request_admission.rs
+++ b/src/scheduler/tests/request_admission.rs
@@ -1,9 +1,9 @@
-//! The checks on a request before it is accepted.
+//! Checks on a request before it is accepted.
 
 use super::*;
 use crate::scheduler::request_admission::{RequestDenied, check_request};
 
-/// The reason why a scheduler that has the request of stream 1 open denies this one.
+/// Returns the reason why a scheduler with an open request on stream 1 denies a second request.
 fn denied(site: impl FnOnce(&mut Site), change: impl FnOnce(&mut ClientRequest)) -> RequestDenied {
     let mut scheduler = test_scheduler();
     submit(&mut scheduler, 1, IDEMPOTENT_CLASS);
--- a/src/scheduler/tests/timers.rs
+++ b/src/scheduler/tests/timers.rs
@@ -1,4 +1,4 @@
-//! The timer queue.
+//! The timer queue and the timers of the scheduler.
 
 use super::*;
 use crate::model::{LoadStatus, RequestId};
@@ -63,7 +63,7 @@
     assert_eq!(fired(&mut timers, at_millis(1)), [Timer::Policy]);
 }
 
-/// Timers left behind would keep the event loop awake for nothing.
+/// Leftover timers would wake the event loop needlessly.
 #[test]
 fn ended_commands_leave_no_timer_behind() {
     let mut scheduler = test_scheduler();
--- a/src/scheduler/tests/write_admission.rs
+++ b/src/scheduler/tests/write_admission.rs
@@ -4,7 +4,7 @@
 use crate::policy::WorkerUnavailable;
 use crate::scheduler::write_admission::WriteDenied;
 
-/// An attempt that waited for its connection while its worker began to drain must not be written.
+/// A command that is queued while its worker begins to drain must not be written.
 #[test]
 fn commands_to_a_draining_worker_are_not_written() {
     let mut scheduler = test_scheduler();
@@ -40,7 +40,7 @@
     );
 }
 
-/// Load orders that waited behind a slow connection must not be written in a burst beyond the rate limit.
+/// Load orders that were queued on a slow connection must not be written in a burst beyond the rate limit.
 #[test]
 fn the_load_rate_limit_holds_when_orders_are_written() {
     let mut scheduler = test_scheduler();
@@ -77,7 +77,7 @@
     );
 }
 
-/// A query loads nothing: it is neither limited nor counted, and may ask about any function.
+/// A query loads nothing: it is neither limited nor counted, and is allowed for any function.
 #[test]
 fn a_query_for_loaded_instances_is_always_written() {
     let mut scheduler = test_scheduler();
@@ -94,7 +94,7 @@
     assert_eq!(scheduler.counters().load_orders_written, 0);
 }
 
-/// The deduplication window counts from the first attempt that may have run, not from the latest.
+/// The deduplication window starts at the first attempt that may have run, not at the latest.
 #[test]
 fn a_retry_keeps_to_the_idempotency_of_its_class() {
     let cases = [
@@ -138,8 +138,8 @@
     }
 }
 
-/// Two attempts may be written in the same instant, by a clock that stands still. The one that never ran takes back its
-/// own write, and not that of the other, which may have run.
+/// Two attempts may be written at the same time if the clock does not advance. An attempt that never ran
+/// retracts its own write, not that of the other attempt, which may have run.
 #[test]
 fn an_attempt_that_never_ran_retracts_only_its_own_write() {
     let mut scheduler = test_scheduler();
@@ -157,7 +157,7 @@
     );
 }
 
-/// The policy does not retry such a request itself; the check holds even if it did.
+/// The policy does not retry such a request; the check must deny a retry even if it did.
 #[test]
 fn a_non_idempotent_request_is_not_written_again_once_it_may_have_run() {
     let mut scheduler = test_scheduler();
