--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -1,5 +1,6 @@
-//! What the scheduler and its connection pool remember of past attempts and load orders: enough to decide right, and
-//! no more as time goes on. Both are driven as library types, without the program.
+//! State that the scheduler and its connection pool keep of past attempts and load orders. It must suffice
+//! for correct decisions and stay bounded over time. The tests use both as library types, without the
+//! program.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -23,7 +24,7 @@
 const WORKER: WorkerId = WorkerId(1);
 const CLIENT_CONNECTION: ConnectionId = ConnectionId(1);
 
-/// A scheduler with these settings whose only worker is ready.
+/// Creates a scheduler with these settings and one ready worker.
 fn scheduler_with_one_worker(settings: &Value, now: Time) -> Scheduler {
     let site = parse_site(settings.to_string().as_bytes()).unwrap();
     let mut scheduler = Scheduler::new(site, 7);
@@ -35,13 +36,13 @@
     scheduler
 }
 
-/// A reactor round a scheduler with the default settings whose only worker is ready.
+/// Creates a reactor whose scheduler has the default settings and one ready worker.
 fn reactor_with_one_worker() -> Reactor {
     let now = SystemClock::new().now();
     runtime::reactor(scheduler_with_one_worker(&default_settings(), now)).unwrap()
 }
 
-/// The n-th request of a test as a frontend submits it.
+/// Returns the n-th request of a test, as a frontend submits it.
 fn client_request(n: u64, function: FunctionId, now: Time) -> ClientRequest {
     let deadline = now + Span::from_millis(60_000);
     ClientRequest {
@@ -58,7 +59,7 @@
     }
 }
 
-/// Limits on connections that no test reaches.
+/// Returns connection limits that no test reaches.
 fn unlimited() -> Limits {
     Limits {
         attempts_per_connection: 1 << 20,
@@ -70,7 +71,7 @@
     }
 }
 
-/// Hands all commands to the pool; the attempt among them.
+/// Passes all commands to the pool and returns the attempt among them.
 fn execute_commands(pool: &mut Pool, reactor: &mut Reactor) -> AttemptId {
     let mut sent = None;
     while let Some(command) = reactor.shared.scheduler.next_command() {
@@ -82,8 +83,8 @@
     sent.expect("the request is sent")
 }
 
-/// Attempts end by the thousand while a request that the worker never answers keeps its connection in use: what is
-/// remembered of them, and looked through, follows those that are in flight.
+/// Thousands of attempts end while a request that the worker never answers keeps their connection in use.
+/// The number of remembered routes must follow the attempts in flight, not all attempts of the connection.
 #[test]
 fn ended_attempts_are_forgotten_while_their_connection_is_in_use() {
     let worker = RawWorker::new();
@@ -97,7 +98,7 @@
             .scheduler
             .submit(now, client_request(n, FunctionId(9), now));
         let attempt = execute_commands(&mut pool, &mut reactor);
-        // The first stays in flight for good.
+        // The first attempt stays in flight.
         let scheduler = &mut reactor.shared.scheduler;
         if n > 0 {
             scheduler.attempt_ended(now, attempt, Ok(WorkerResponse::Ok(vec![])));
@@ -110,8 +111,8 @@
     assert_eq!(reactor.shared.scheduler.attempts_in_flight(), 1);
 }
 
-/// Submits a request for a function of its own, answers its attempts with a miss, and takes the load order that
-/// follows.
+/// Submits a request for a separate function, answers its attempts with a miss, and returns the resulting
+/// load order.
 fn next_load_order(scheduler: &mut Scheduler, n: u64, now: Time) -> LoadOrderId {
     scheduler.fire_timers(now);
     scheduler.submit(now, client_request(n, FunctionId(n), now));
@@ -125,7 +126,8 @@
     panic!("no load order for request {n}");
 }
 
-/// Whether the load order of the n-th request is admitted; the order ends and the request is cancelled either way.
+/// Returns whether the load order of the n-th request is admitted. Ends the order and cancels the request
+/// either way.
 fn admits_load_order_of(scheduler: &mut Scheduler, n: u64, now: Time) -> bool {
     let order = next_load_order(scheduler, n, now);
     let admitted = scheduler.admits_load_order(now, order);
@@ -147,8 +149,8 @@
     admitted
 }
 
-/// Load orders go out without a rate limit, and a new configuration brings one: those of its window count, and those
-/// of long ago are not kept for that day.
+/// Load orders are written without a rate limit until a new configuration sets one. Those within its window
+/// must count against it, and older ones must not be kept.
 #[test]
 fn load_orders_written_before_a_rate_limit_count_and_expire() {
     const REQUESTS_BEFORE: u64 = 2_000;
@@ -174,13 +176,14 @@
     let admitted = admits_load_order_of(&mut scheduler, REQUESTS_BEFORE, now);
     assert!(
         !admitted,
-        "some fifty went out within the window of the rate limit"
+        "about fifty were written within the rate limit's window"
     );
 }
 
-/// A worker stops reading until the system takes no more bytes of an attempt, and its client leaves. Once the worker reads
-/// on, the rest of that attempt must not go out: it would begin long after its client has left, with a time limit that
-/// nobody has any more, and a keyed one possibly outside its deduplication window.
+/// A worker stops reading until an attempt is only partially written, and then the client cancels the
+/// request. When the worker resumes reading, the rest of the attempt must not be written: the request would
+/// start long after its client has left, with an outdated time limit and, if keyed, possibly outside its
+/// deduplication window.
 #[test]
 fn a_partial_write_is_not_completed_after_its_client_left() {
     const BODY_LARGER_THAN_SOCKET_BUFFERS: usize = 16 << 20;
@@ -209,7 +212,7 @@
     assert_eq!(reactor.shared.scheduler.counters().violations, 0);
 }
 
-/// Waits for events for a moment at most.
+/// Polls for events for at most a few milliseconds.
 fn poll_briefly(reactor: &mut Reactor) {
     let soon = reactor.now() + Span::from_millis(5);
     reactor.poll(Some(soon)).unwrap();
