--- a/src/backend/address.rs
+++ b/src/backend/address.rs
@@ -1,13 +1,13 @@
-//! Where workers listen.
+//! Addresses of workers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The address of a worker, which also determines its wire format.
+/// The address of a worker. The kind of address determines the wire format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WorkerAddress {
-    /// A node agent on TCP.
+    /// The TCP address of a node agent.
     NodeAgent(SocketAddr),
-    /// A JSON-RPC worker on a Unix socket of this host.
+    /// The path of the Unix socket of a JSON-RPC worker on this host.
     JsonRpc(PathBuf),
 }
--- a/src/backend/limits.rs
+++ b/src/backend/limits.rs
@@ -2,30 +2,30 @@
 
 use crate::model::{Site, Span};
 
-/// An idle connection is closed after this part of the time in which the worker would close it, so that no
+/// Idle timeout of a connection, as a fraction of the worker's own idle timeout. It is below 1 so that no
 /// request is written to a connection that the worker is closing.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
-/// Limits that all connections to workers share.
+/// The limits on connections to workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Attempts that one connection carries at a time.
+    /// Maximum number of open attempts on one connection.
     pub attempts_per_connection: usize,
-    /// A connection with nothing open is closed after this time. It has to be shorter than the workers' own
-    /// idle timeout, or a command could be written while the worker closes the connection.
+    /// Time after which a connection without open exchanges is closed. It must be shorter than the workers'
+    /// own idle timeout; otherwise a command could be written while the worker closes the connection.
     pub idle_timeout: Span,
-    /// A connection that is not established within this time has failed.
+    /// Time within which a connection must be established; after that, it has failed.
     pub connect_timeout: Span,
-    /// File descriptors that all connections of the process may take together.
+    /// Maximum number of connections of the process, client connections included.
     pub max_connections: usize,
-    /// Of these, the connections at whose other end is no client may take so many.
+    /// Maximum number of connections, out of `max_connections`, that are not client connections.
     pub max_outgoing_connections: usize,
     /// Number of schedulers that connect to the same workers.
     pub schedulers: usize,
 }
 
 impl Limits {
-    /// The limits that a site's settings give, with at most `max_connections` connections.
+    /// Returns the limits from a site's settings, with at most `max_connections` connections.
     pub fn for_site(site: &Site, max_connections: usize) -> Limits {
         Limits {
             attempts_per_connection: site.attempts_per_connection,
--- a/src/backend/mod.rs
+++ b/src/backend/mod.rs
@@ -1,13 +1,13 @@
-//! The backend: connections to workers.
+//! Connections to workers.
 //!
-//! A [`Pool`] knows the address of every worker and chooses the connection that a command takes. Each
-//! connection writes one command at a time, and only once the one before has been handed to the operating
-//! system completely. That way it knows for every attempt how far its command had been written when the
-//! connection closed, on which it depends whether a retry is safe. Right before the first byte of a command
-//! it asks the scheduler whether the command may still be sent.
+//! A [`Pool`] holds the address of every worker and selects the connection on which a command is sent. Each
+//! connection writes one command at a time: it starts the next one only after the operating system has
+//! accepted every byte of the previous one. When a connection closes, it can therefore tell how far each
+//! command was written, which determines whether a retry is safe. Immediately before it writes a request or a
+//! load order, it asks the scheduler whether the command may still be sent.
 //!
-//! What the lines of commands and responses look like is up to a [`Codec`]: [`NodeAgentCodec`] for node agents
-//! on TCP, [`JsonRpcCodec`] for workers on Unix sockets.
+//! A [`Codec`] defines how commands and responses are encoded: [`NodeAgentCodec`] for node agents on TCP,
+//! [`JsonRpcCodec`] for workers on Unix sockets.
 
 mod address;
 mod codec;
