--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to every worker, and which of them a command takes.
+//! The pool of connections to workers, which selects a connection for each command.
 
 use super::address::WorkerAddress;
 use super::codec::Codec;
@@ -15,44 +15,46 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// Connections to one worker at a time, those being established included.
+/// Maximum number of connections to one worker, including those being established.
 const MAX_CONNECTIONS_PER_WORKER: usize = 16;
-/// Connections to one worker that all schedulers together spread requests over. How many a worker accepts is
-/// not known in advance, and one that has no more descriptors refuses each further connection with the
-/// request on it.
+/// Number of connections to one worker over which all schedulers together distribute requests. The number
+/// that a worker accepts is not known in advance, and a worker without free descriptors refuses every further
+/// connection, which fails the attempt for which the connection was opened.
 const FLEET_CONNECTIONS_PER_WORKER: usize = 48;
-/// Attempts on a connection from which the next one opens another, while descriptors last. A response that
-/// cannot be decoded, or a reset, ends everything that is open on its connection.
+/// Number of open attempts on a connection from which a new attempt opens another connection, as long as
+/// descriptors are free. The value is low because a reset or a response that cannot be decoded fails every
+/// exchange on its connection.
 const ATTEMPTS_BEFORE_NEW_CONNECTION: usize = 1;
-/// Routes kept beyond two for each attempt in flight before those of ended attempts are dropped.
+/// Number of tracked attempts, beyond two for each attempt in flight, above which ended attempts are removed.
+/// Below it the table is not scanned.
 const CLEANUP_MARGIN: usize = 256;
 
-/// A worker process in the endpoint list.
+/// A worker process in the endpoint list, with the connections to it.
 struct WorkerEntry {
     address: WorkerAddress,
     started_at: Option<Time>,
     connections: Vec<ConnectionId>,
 }
 
-/// A connection that a command could take.
+/// A connection that can accept a command.
 struct Candidate {
     connection: ConnectionId,
     attempts_in_flight: usize,
 }
 
-/// The workers' addresses and connections.
+/// The addresses of all workers and the connections to them.
 pub struct Pool {
     workers: BTreeMap<WorkerId, WorkerEntry>,
-    /// The connection of every attempt in flight, and of some that have ended.
+    /// The connection of each attempt in flight, and of attempts that ended recently.
     attempt_connections: HashMap<AttemptId, ConnectionId>,
     node_agent_codec: Rc<dyn Codec>,
     jsonrpc_codec: Rc<dyn Codec>,
-    /// Shared with all connections.
+    /// Shared with all connections, so that new limits apply to open connections too.
     limits: Rc<Cell<Limits>>,
 }
 
 impl Pool {
-    /// A pool without workers.
+    /// Creates a pool without workers.
     pub fn new(limits: Limits) -> Pool {
         Pool {
             workers: BTreeMap::new(),
@@ -63,17 +65,19 @@
         }
     }
 
-    /// Sets new limits, also for the connections that are open.
+    /// Sets new limits, which also apply to open connections.
     pub fn configure(&mut self, limits: Limits, reactor: &mut Reactor) {
         self.limits.set(limits);
-        // The reactor asks a connection for its deadline after each callback.
+        // The reactor updates a connection's timer after each callback, so that a callback without effect
+        // applies the new timeouts.
         for connection in reactor.connection_ids() {
             reactor.with_connection(connection, |_, _, _| ConnectionFlow::Continue);
         }
     }
 
-    /// Sets the address of a worker. If it is new, or another process has started there, nothing more is sent
-    /// on the connections to the old process; what is open on them ends by itself.
+    /// Sets the address of a worker. If the address or the start time has changed, nothing more is sent on
+    /// the connections to the previous process, except for cancellations; open exchanges on them run to their
+    /// end.
     pub fn set_address(&mut self, worker: WorkerId, address: WorkerAddress, started_at: Option<Time>) {
         let known = self.workers.get(&worker);
         if known.is_some_and(|entry| entry.address == address && entry.started_at == started_at) {
@@ -87,17 +91,17 @@
         self.workers.insert(worker, entry);
     }
 
-    /// Forgets a worker that has gone.
+    /// Removes a worker. Open exchanges on its connections run to their end.
     pub fn remove(&mut self, worker: WorkerId) {
         self.workers.remove(&worker);
     }
 
-    /// Forgets all workers that are not listed any more.
+    /// Removes all workers for which `is_listed` returns false.
     pub fn retain(&mut self, is_listed: impl Fn(WorkerId) -> bool) {
         self.workers.retain(|worker, _| is_listed(*worker));
     }
 
-    /// Executes a command of the scheduler, if it is one for a worker.
+    /// Executes a command of the scheduler. Ignores commands that are not for a worker.
     pub fn execute(&mut self, command: Command, reactor: &mut Reactor) {
         let Some(AddressedCommand { worker, command }) = AddressedCommand::from_scheduler(command) else {
             return;
@@ -112,7 +116,8 @@
         }
     }
 
-    /// Hands a command for a worker to one of its connections, or reports that no connection can be had.
+    /// Submits a command to one of the worker's connections. Reports the command as not sent if no connection
+    /// is available.
     fn submit(&mut self, worker: WorkerId, command: WorkerCommand, reactor: &mut Reactor) {
         let correlation_id = command.attempt_correlation_id();
         let Some(connection) = self.connection_to(worker, correlation_id, reactor) else {
@@ -124,9 +129,11 @@
         submit_to(connection, command, reactor);
     }
 
-    /// The connection that a command to a worker takes, which may be a new one. An attempt gives its
-    /// correlation id: two open attempts of one request must not share a connection, because their responses
-    /// would look alike.
+    /// Selects the connection for a command to a worker, and opens one if necessary. Returns `None` if no
+    /// connection is available.
+    ///
+    /// `correlation_id` is set for attempts only. Two open attempts of one request must not share a
+    /// connection, because they have the same correlation id and their responses could not be told apart.
     fn connection_to(
         &mut self,
         worker: WorkerId,
@@ -140,7 +147,7 @@
             .connections
             .retain(|connection| reactor.has_connection(*connection));
         if let Some(candidate) = entry.least_loaded_connection(correlation_id, reactor) {
-            // Load orders and health checks share the connections that there are.
+            // Commands other than attempts share the connections that are already open.
             let may_share =
                 correlation_id.is_none() || candidate.attempts_in_flight < ATTEMPTS_BEFORE_NEW_CONNECTION;
             let may_open = entry.connections.len() < target_connections && descriptors_left;
@@ -157,7 +164,7 @@
         self.connect(worker, reactor)
     }
 
-    /// Whether another connection fits into the descriptors, and into the part of them that clients leave.
+    /// Returns whether another connection to a worker stays within both limits on connections.
     fn has_descriptors_left(&self, reactor: &Reactor) -> bool {
         let limits = self.limits.get();
         let connections = reactor.connection_count();
@@ -165,7 +172,8 @@
         connections < limits.max_connections && outgoing < limits.max_outgoing_connections
     }
 
-    /// Frees a descriptor by closing an idle connection, so that another connection fits.
+    /// Frees a descriptor by closing the connection that has been idle longest. Clients' connections are
+    /// spared if the limit on outgoing connections is reached. Returns whether a connection was closed.
     fn free_descriptor(&self, reactor: &mut Reactor) -> bool {
         let outgoing = reactor.connection_count() - reactor.client_count();
         if outgoing < self.limits.get().max_outgoing_connections {
@@ -175,8 +183,8 @@
         }
     }
 
-    /// Connections to one worker that requests are spread over. Clients may take a third of the descriptors;
-    /// the rest is shared equally by all workers.
+    /// Returns the number of connections to one worker over which this scheduler distributes requests. A
+    /// third of the descriptors is reserved for clients; the rest is divided equally among all workers.
     fn target_connections(&self) -> usize {
         let limits = self.limits.get();
         let share_of_descriptors = limits.max_connections * 2 / 3 / self.workers.len().max(1);
@@ -186,7 +194,8 @@
             .clamp(1, MAX_CONNECTIONS_PER_WORKER)
     }
 
-    /// Begins to establish a new connection to a worker.
+    /// Starts connecting to a worker. Returns `None` if the worker is unknown or the connection fails at
+    /// once.
     fn connect(&mut self, worker: WorkerId, reactor: &mut Reactor) -> Option<ConnectionId> {
         let entry = self.workers.get_mut(&worker)?;
         let (stream, codec) = match &entry.address {
@@ -204,8 +213,9 @@
         Some(connection)
     }
 
-    /// Drops the attempt_connections of ended attempts whenever they are the greater part. To be called when no command is
-    /// pending: the cancellation of an attempt comes after its end.
+    /// Removes the attempts that have ended from the table, once they outnumber those in flight. Call this
+    /// only when no command is pending, because the scheduler cancels an attempt after ending it and the
+    /// cancellation needs the entry.
     pub fn remove_ended_attempts(&mut self, scheduler: &Scheduler) {
         if self.attempt_connections.len() > CLEANUP_MARGIN + 2 * scheduler.attempts_in_flight() {
             self.attempt_connections
@@ -213,14 +223,15 @@
         }
     }
 
-    /// Number of attempts whose connection is remembered.
+    /// Returns the number of attempts whose connection is tracked.
     pub fn tracked_attempt_count(&self) -> usize {
         self.attempt_connections.len()
     }
 }
 
 impl WorkerEntry {
-    /// The connection with the fewest attempts among those that accept a command; of equals the oldest.
+    /// Returns the connection with the fewest open attempts among those that accept the command. Ties go to
+    /// the oldest connection.
     fn least_loaded_connection(&self, correlation_id: Option<&str>, reactor: &Reactor) -> Option<Candidate> {
         let candidates = self.connections.iter().filter_map(|id| {
             let connection = reactor.connection::<WorkerConnection>(*id)?;
@@ -233,15 +244,15 @@
     }
 }
 
-/// Hands a command to a connection. A cancellation for one that has closed is dropped: what was open has
-/// ended.
+/// Submits a command to a connection. If the connection has closed, a cancellation is dropped: its attempt
+/// has already ended.
 fn submit_to(connection: ConnectionId, command: WorkerCommand, reactor: &mut Reactor) {
     reactor.with_connection_of(connection, |worker: &mut WorkerConnection, socket, context| {
         worker.submit(command, socket, context)
     });
 }
 
-/// Reports a command for which no connection can be had.
+/// Reports to the scheduler that no connection is available for a command.
 fn report_not_sent(command: &WorkerCommand, now: Time, scheduler: &mut Scheduler) {
     match command {
         WorkerCommand::Send { attempt, .. } => scheduler.attempt_not_sent(now, *attempt),
--- a/src/backend/worker_command.rs
+++ b/src/backend/worker_command.rs
@@ -1,24 +1,25 @@
-//! Commands for a worker, as its connections take them.
+//! Commands for a single worker.
 
 use super::correlation::Exchange;
 use crate::model::{FunctionId, Time, WorkerId};
 use crate::scheduler::{AttemptId, Command, HealthCheckId, LoadOrderId, RequestPayload};
 use std::rc::Rc;
 
-/// A command for the worker at the other end of a connection, on which it waits until it is written.
+/// A command for the worker at the other end of a connection.
 ///
-/// It marks the border between the pool, which knows which worker a [`Command`] of the scheduler goes to, and a
-/// connection, which has but one worker and never sees the commands to frontends. What a connection keeps of a command
-/// after that is its [`Exchange`].
+/// The pool converts each [`Command`] of the scheduler that is for a worker into this type. It leaves out the
+/// worker's id, because a connection has only one worker, and has no variant for responses to frontends. A
+/// command waits in the connection's queue until it is written; afterwards the connection keeps only its
+/// [`Exchange`].
 #[derive(Clone, Debug)]
 pub(super) enum WorkerCommand {
     /// Start an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
-        /// What the attempt carries.
+        /// The request that the attempt sends.
         payload: Rc<RequestPayload>,
-        /// When the response is no longer awaited.
+        /// Time by which the response is due.
         deadline: Time,
     },
     /// Cancel an attempt.
@@ -32,14 +33,14 @@
         order: LoadOrderId,
         /// The function.
         function: FunctionId,
-        /// Number of instances to have loaded.
+        /// Minimum number of loaded instances that the worker is to have.
         instances: u8,
     },
     /// Check the worker's health.
     HealthCheck {
         /// The health check.
         check: HealthCheckId,
-        /// When the response is no longer awaited.
+        /// Time by which the response is due.
         deadline: Time,
     },
     /// Unload the idle instances of a function.
@@ -49,7 +50,7 @@
     },
 }
 
-/// A command for a worker, and which worker that is.
+/// A command and the worker that it is for.
 #[derive(Clone, Debug)]
 pub(super) struct AddressedCommand {
     pub(super) worker: WorkerId,
@@ -57,7 +58,7 @@
 }
 
 impl AddressedCommand {
-    /// The part of a scheduler's command that its worker gets; none for a command to a frontend.
+    /// Converts a command of the scheduler; returns `None` if it is not for a worker.
     pub(super) fn from_scheduler(command: Command) -> Option<AddressedCommand> {
         let (worker, command) = match command {
             Command::Send {
@@ -100,7 +101,7 @@
 }
 
 impl WorkerCommand {
-    /// The exchange that the command opens; none for commands without a response.
+    /// Returns the exchange that the command opens, or `None` if the command gets no response.
     pub(super) fn exchange(&self) -> Option<Exchange> {
         match self {
             WorkerCommand::Send { attempt, .. } => Some(Exchange::Attempt(*attempt)),
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The correlation id of the attempt that the command starts, if it starts one.
+    /// Returns the correlation id of the attempt that the command starts, or `None` for other commands.
     pub(super) fn attempt_correlation_id(&self) -> Option<&str> {
         match self {
             WorkerCommand::Send { payload, .. } => Some(&payload.correlation_id),
