--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a worker: its lifecycle and timers.
+//! A connection to a worker, with its lifecycle and timers.
 
 mod commands;
 pub(super) mod health_check;
@@ -18,11 +18,11 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Longest line taken from a worker, in bytes: a body of 16 KiB in base64, and the fields around it.
+/// Maximum length of a line from a worker, in bytes: a body of 16 KiB in base64, plus the other fields.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Unsent bytes beyond which a connection is not read from.
+/// Number of unsent bytes above which nothing is read from the connection.
 const MAX_UNSENT_BYTES: usize = 4 << 20;
-/// Open and waiting commands on one connection.
+/// Maximum number of open exchanges and queued commands on one connection.
 const MAX_COMMANDS: usize = 4096;
 const LINE_FEED: u8 = b'\n';
 
@@ -37,13 +37,14 @@
 }
 
 impl WorkerConnection {
-    /// Limits of the buffers of a connection's stream.
+    /// The limits on the input and output buffers of the connection.
     pub(super) const BUFFER_LIMITS: BufferLimits = BufferLimits {
         input: MAX_LINE_BYTES,
         output: MAX_UNSENT_BYTES,
     };
 
-    /// A connection that is being established, and has failed if it is not by `connect_deadline`.
+    /// Creates a connection that is being established. It fails if it is not established by
+    /// `connect_deadline`.
     pub(super) fn new(
         codec: Rc<dyn Codec>,
         limits: Rc<Cell<Limits>>,
@@ -61,8 +62,8 @@
         }
     }
 
-    /// Whether a command could be taken now: there is capacity, and its correlation id, if it is an
-    /// attempt's, is not in use here.
+    /// Returns whether the connection can accept a command: it has capacity, its worker is responsive, and
+    /// the correlation id, which is set for attempts only, is not in use on the connection.
     pub(super) fn accepts(&self, correlation_id: Option<&str>) -> bool {
         let commands = self.correlations.open_exchange_count() + self.write_queue.len();
         correlation_id.is_none_or(|id| self.correlations.is_unused(id))
@@ -71,12 +72,12 @@
             && commands < MAX_COMMANDS
     }
 
-    /// Number of attempts that are open on this connection.
+    /// Returns the number of open attempts on this connection.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.correlations.open_attempt_count()
     }
 
-    /// Ends the health check that got no response in time.
+    /// Ends the outstanding health check with an error if its deadline has passed.
     fn expire_health_check(&mut self, context: &mut Context) {
         let Some(check) = self.health_check.expire(context.now) else {
             return;
@@ -92,7 +93,7 @@
             .health_check_ended(context.now, check, Err(error));
     }
 
-    /// When the connection is to be closed, unless something happens before.
+    /// Returns when to close the connection unless its state changes before.
     fn close_deadline(&self) -> Option<Time> {
         let idle_deadline = self
             .idle_since()
@@ -101,7 +102,7 @@
     }
 }
 
-/// Reports an exchange that the connection's end has cut off.
+/// Reports to the scheduler that the connection closed before an exchange was complete.
 fn report_failure(exchange: Exchange, error: ExchangeError, context: &mut Context) {
     let scheduler = &mut context.shared.scheduler;
     match exchange {
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -1,4 +1,4 @@
-//! The commands of a connection: taken from the pool, written one at a time.
+//! The commands of a connection, which are queued and written one at a time.
 
 use super::WorkerConnection;
 use super::health_check::HealthCheckState;
@@ -10,7 +10,8 @@
 use crate::scheduler::{AttemptId, LoadOrderId, RequestPayload};
 
 impl WorkerConnection {
-    /// Takes a command for the worker.
+    /// Queues a command for the worker and writes as many queued commands as the socket accepts. Drops a
+    /// cancellation that the worker does not need.
     pub(in crate::backend) fn submit(
         &mut self,
         command: WorkerCommand,
@@ -41,8 +42,8 @@
         self.flush_commands(socket, context)
     }
 
-    /// Cancels an attempt, and returns whether the worker needs a command for that. It needs none if the
-    /// attempt has its response, or if its command still waited and so is never written.
+    /// Cancels an attempt. Returns whether the cancellation must be sent to the worker: not if the response
+    /// has already arrived, nor if the attempt's own command was still queued and has now been removed.
     fn cancel_attempt(&mut self, attempt: AttemptId, now: Time) -> bool {
         if !self.correlations.has_attempt(attempt) {
             return false;
@@ -55,7 +56,7 @@
         true
     }
 
-    /// Writes the waiting commands one after another, each once the one before has been written completely.
+    /// Writes the queued commands in order, each one after the previous one has been written completely.
     pub(super) fn flush_commands(
         &mut self,
         socket: &mut BufferedStream,
@@ -79,7 +80,7 @@
         ConnectionFlow::Continue
     }
 
-    /// Encodes a command whose turn has come; none if it must not be written any more.
+    /// Encodes a command immediately before it is written. Returns `None` if it must no longer be written.
     fn encode(&mut self, command: WorkerCommand, context: &mut Context) -> Option<Vec<u8>> {
         match command {
             WorkerCommand::Send {
--- a/src/backend/connection/health_check.rs
+++ b/src/backend/connection/health_check.rs
@@ -1,38 +1,40 @@
-//! What the health checks on a connection say of its worker.
+//! The state of the health checks on a connection.
 
 use crate::model::Time;
 use crate::scheduler::HealthCheckId;
 
-/// What the last health check on a connection says.
+/// The state of the health checks on a connection.
 ///
-/// This is no [`Phase`](super::phase::Phase): a health check may wait, and expire, also on a connection that is still
-/// being established.
+/// It is separate from [`Phase`](super::phase::Phase), because a health check can also be queued, and expire,
+/// while the connection is still being established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::backend) enum HealthCheckState {
-    /// No health check is outstanding, and nothing speaks against the connection.
+    /// No health check is outstanding, and none has expired since input last arrived.
     Responsive,
-    /// The response to a health check is awaited.
+    /// A health check is waiting for its response.
     Outstanding {
         /// The health check.
         check: HealthCheckId,
-        /// When it is no longer awaited.
+        /// Time at which the health check expires.
         deadline: Time,
     },
-    /// A health check got no response in time, and nothing has arrived since. A connection through a network
-    /// partition stays established and silent, and is slow to recover after the partition. New commands take a new
-    /// connection instead: if it is refused, this proves that nothing ran.
+    /// A health check expired, and nothing has been received since. During a network partition, a connection
+    /// stays established without delivering anything, and it recovers slowly afterwards. New commands
+    /// therefore use a new connection: if that one is refused, the command has certainly not been executed.
     Unresponsive,
 }
 
 impl HealthCheckState {
-    /// Notes that something has arrived from the worker. A health check stays outstanding until its own response.
+    /// Records that input has arrived from the worker. An outstanding health check still waits for its own
+    /// response.
     pub(in crate::backend) fn record_input(&mut self) {
         if *self == HealthCheckState::Unresponsive {
             *self = HealthCheckState::Responsive;
         }
     }
 
-    /// Ends the outstanding health check if its time has come, and returns it: the worker is unresponsive.
+    /// Ends the outstanding health check and returns it if its deadline has passed. The connection is then
+    /// [`Unresponsive`](HealthCheckState::Unresponsive).
     pub(in crate::backend) fn expire(&mut self, now: Time) -> Option<HealthCheckId> {
         match *self {
             HealthCheckState::Outstanding { check, deadline } if deadline <= now => {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// When the outstanding health check is no longer awaited.
+    /// Returns when the outstanding health check expires.
     pub(in crate::backend) fn deadline(&self) -> Option<Time> {
         match self {
             HealthCheckState::Outstanding { deadline, .. } => Some(*deadline),
--- a/src/backend/connection/phase.rs
+++ b/src/backend/connection/phase.rs
@@ -1,31 +1,31 @@
-//! The phase of a connection to a worker, and until when it may stay in it.
+//! The phases of a connection to a worker, with their deadlines.
 
 use crate::model::{Span, Time};
 use crate::net::{MessageDeadline, PartialMessage};
 
-/// Time within which a line of a worker has to arrive completely. One that stops short would swallow the start of the
-/// next response.
+/// Time within which a line must arrive completely once its first bytes have arrived. A line that stays
+/// incomplete would be merged with the start of the next response.
 const LINE_TIMEOUT: Span = Span::from_millis(300);
 
-/// The phase of a connection to a worker.
+/// The phase of a connection to a worker, with its deadline and the time of the last activity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::backend) enum Phase {
-    /// The connection is being established. Commands wait, and nothing is received yet.
+    /// The connection is being established. Commands are queued, and nothing is received.
     Connecting {
-        /// A connection that is not established by then has failed.
+        /// Time by which the connection must be established.
         deadline: Time,
     },
-    /// Commands are written and responses received.
+    /// The connection is established. Commands are written and responses received.
     Established {
-        /// When the last command was taken or the last response came.
+        /// Time of the last queued command or received response.
         last_activity: Time,
-        /// Until when the rest of an incomplete line has to arrive.
+        /// Deadline for the rest of an incomplete line.
         line_deadline: MessageDeadline,
     },
 }
 
 impl Phase {
-    /// The phase of a connection that has been established at `now`.
+    /// Creates the phase of a connection that was established at `now`.
     pub(in crate::backend) fn established(now: Time) -> Phase {
         Phase::Established {
             last_activity: now,
@@ -33,19 +33,21 @@
         }
     }
 
-    /// Whether the connection is still being established.
+    /// Returns whether the connection is still being established.
     pub(in crate::backend) fn is_connecting(&self) -> bool {
         matches!(self, Phase::Connecting { .. })
     }
 
-    /// Notes that a command was taken or a response came. Idleness is not measured before the connection is established.
+    /// Records that a command was queued or a response was received. Has no effect before the connection is
+    /// established, because the idle time starts then.
     pub(in crate::backend) fn record_activity(&mut self, now: Time) {
         if let Phase::Established { last_activity, .. } = self {
             *last_activity = now;
         }
     }
 
-    /// When the last command was taken or the last response came; none while the connection is being established.
+    /// Returns the time of the last queued command or received response, or `None` while the connection is
+    /// being established.
     pub(in crate::backend) fn last_activity(&self) -> Option<Time> {
         match self {
             Phase::Connecting { .. } => None,
@@ -53,14 +55,16 @@
         }
     }
 
-    /// Follows a read at `now`, which may have left the start of a line in the input.
+    /// Updates the line deadline after a read at `now`, which may have left an incomplete line in the input
+    /// buffer.
     pub(in crate::backend) fn track_line(&mut self, line: PartialMessage, now: Time) {
         if let Phase::Established { line_deadline, .. } = self {
             line_deadline.track(line, now);
         }
     }
 
-    /// When the connection fails unless it is established, or the line is complete, before.
+    /// Returns when the connection fails unless it is established, or the incomplete line is complete, by
+    /// then.
     pub(in crate::backend) fn deadline(&self) -> Option<Time> {
         match self {
             Phase::Connecting { deadline } => Some(*deadline),
--- a/src/backend/connection/responses.rs
+++ b/src/backend/connection/responses.rs
@@ -1,4 +1,4 @@
-//! The responses that arrive on a connection.
+//! The handling of responses that arrive on a connection.
 
 use super::WorkerConnection;
 use super::health_check::HealthCheckState;
@@ -12,7 +12,7 @@
 };
 
 impl WorkerConnection {
-    /// Decodes a line of the worker and ends the exchange that it responds to.
+    /// Decodes a line from the worker and ends the exchange that it responds to.
     pub(super) fn handle_line(&mut self, line: &[u8], context: &mut Context) -> ConnectionFlow {
         self.health_check.record_input();
         match self.codec.decode(line) {
@@ -20,8 +20,8 @@
             Ok(WorkerMessage::Alive { correlation_id }) => self.handle_alive(&correlation_id, context),
             Err(error) => {
                 self.handle_decode_error(&error, context);
-                // It is no longer certain where lines begin and end, so that whatever is open on this
-                // connection could wait for its response in vain.
+                // The boundaries between lines are no longer certain, so the responses to the other open
+                // exchanges might never be recognized.
                 return ConnectionFlow::Close;
             }
         }
@@ -33,15 +33,15 @@
             Some(Exchange::Attempt(attempt)) => self.end_attempt(attempt, message, context),
             Some(Exchange::LoadOrder(order)) => end_load_order(order, &message, context),
             Some(Exchange::HealthCheck(check)) => self.fail_health_check(check, context),
-            // The response to something that has been cancelled or was never sent.
+            // The response to an exchange that was cancelled, has already ended or was never opened.
             None => {}
         }
         self.phase.record_activity(context.now);
     }
 
     fn end_attempt(&mut self, attempt: AttemptId, message: ResponseMessage, context: &mut Context) {
-        // A request that was not served may be tried again under the same id. That attempt has to take
-        // another connection, so that a duplicate of this response is not taken for its own.
+        // A request that was not served may be retried with the same correlation id. The retry must use
+        // another connection; otherwise a duplicate of this response could be mistaken for the retry's own.
         if !matches!(message.response, WorkerResponse::Ok(_)) {
             self.correlations.retire(message.correlation_id, context.now);
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Ends a health check that got a response, but not the one of a worker that is alive.
+    /// Ends a health check whose response does not say that the worker is alive.
     fn fail_health_check(&mut self, check: HealthCheckId, context: &mut Context) {
         self.health_check = HealthCheckState::Responsive;
         let error = ExchangeError {
