--- a/src/backend/correlation.rs
+++ b/src/backend/correlation.rs
@@ -1,18 +1,18 @@
-//! The table of correlation ids that are in use on one connection.
+//! The correlation ids in use on one connection.
 
 use crate::model::{Span, Time};
 use crate::scheduler::{AttemptId, HealthCheckId, LoadOrderId};
 use std::collections::{HashMap, VecDeque};
 
-/// How long a retired id is kept from being used again on its connection.
+/// Time during which a retired id cannot be used again on its connection.
 pub(super) const RETIRED_ID_TTL: Span = Span::from_millis(10_000);
-/// Retired ids kept at most: clients may cancel requests by the hundreds.
+/// Maximum number of retired ids on one connection. Clients may cancel hundreds of requests at once.
 pub(super) const MAX_RETIRED_IDS: usize = 1024;
 
-/// A command and its awaited response, on one connection.
+/// A command and its response on one connection, identified by the scheduler's own id.
 ///
-/// It marks the border between the scheduler's ids and the wire's: a connection finds by it which attempt, load order or
-/// health check of the scheduler a worker's response belongs to. Commands that get no response open no exchange.
+/// The table maps each correlation id to an exchange, so that a connection can find the attempt, load order
+/// or health check to which a worker's response belongs. Commands that get no response open no exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Exchange {
     /// An attempt of a request.
@@ -23,12 +23,12 @@
     HealthCheck(HealthCheckId),
 }
 
-/// The correlation id of a load order.
+/// Returns the correlation id of a load order.
 pub(super) fn load_order_correlation_id(order: LoadOrderId) -> String {
     format!("load-{}", order.0)
 }
 
-/// The correlation id of a health check.
+/// Returns the correlation id of a health check.
 pub(super) fn health_check_correlation_id(check: HealthCheckId) -> String {
     format!("probe-{}", check.0)
 }
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Open(Exchange),
-    /// Cancelled or responded to at this time: a response that still comes belongs to no exchange.
+    /// Cancelled or completed at this time. A response that arrives later belongs to no exchange.
     Retired(Time),
 }
 
@@ -45,20 +45,21 @@
     retired_at: Time,
 }
 
-/// The open exchanges of a connection by correlation id, and the retired ids, under which a response may still
-/// come late.
+/// The open exchanges of a connection by correlation id, and the retired ids, for which a late response may
+/// still arrive.
 #[derive(Default)]
 pub(super) struct CorrelationTable {
     entries: HashMap<String, Entry>,
-    /// Ids of open attempts, and of cancelled ones until their cancellation is written.
+    /// Ids of open attempts, and of cancelled attempts until the cancellation is written.
     attempt_correlation_ids: HashMap<AttemptId, String>,
     open_attempts: usize,
-    /// In the order in which they were retired. Some may have got a late response since, and are free again.
+    /// In order of retirement. An id whose late response has arrived is free again, but stays here until it
+    /// expires.
     retired: VecDeque<RetiredId>,
 }
 
 impl CorrelationTable {
-    /// Opens an attempt under an id that must be unused.
+    /// Opens an attempt with an id that must be unused.
     pub(super) fn open_attempt(&mut self, attempt: AttemptId, correlation_id: &str) {
         self.open_attempts += 1;
         self.open(correlation_id.to_owned(), Exchange::Attempt(attempt));
@@ -80,12 +81,12 @@
         self.entries.insert(correlation_id, Entry::Open(exchange));
     }
 
-    /// Whether an id is neither open nor retired.
+    /// Returns whether an id is neither open nor retired.
     pub(super) fn is_unused(&self, correlation_id: &str) -> bool {
         !self.entries.contains_key(correlation_id)
     }
 
-    /// The exchange that is open under an id.
+    /// Returns the open exchange with this id.
     pub(super) fn exchange(&self, correlation_id: &str) -> Option<Exchange> {
         match self.entries.get(correlation_id)? {
             Entry::Open(exchange) => Some(*exchange),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The exchanges that are open, in no particular order.
+    /// Returns the open exchanges in no particular order.
     pub(super) fn open_exchanges(&self) -> impl Iterator<Item = Exchange> {
         self.entries.values().filter_map(|entry| match entry {
             Entry::Open(exchange) => Some(*exchange),
@@ -101,24 +102,23 @@
         })
     }
 
-    /// Whether any exchange is open.
+    /// Returns whether any exchange is open.
     pub(super) fn has_open_exchanges(&self) -> bool {
         self.open_exchanges().next().is_some()
     }
 
-    /// Number of open exchanges. It is too low by the retired ids that have got a late response, until they
-    /// expire.
+    /// Returns the number of open exchanges. The number is too low by one for each retired id whose late
+    /// response has arrived, until that id expires.
     pub(super) fn open_exchange_count(&self) -> usize {
         self.entries.len().saturating_sub(self.retired.len())
     }
 
-    /// Number of open attempts.
+    /// Returns the number of open attempts.
     pub(super) fn open_attempt_count(&self) -> usize {
         self.open_attempts
     }
 
-    /// Closes what is open under an id and frees the id, also if it is retired. Returns the exchange that was
-    /// open.
+    /// Closes the exchange with this id and returns it. Frees the id, even if it is retired.
     pub(super) fn close(&mut self, correlation_id: &str) -> Option<Exchange> {
         let Entry::Open(exchange) = self.entries.remove(correlation_id)? else {
             return None;
@@ -130,19 +130,20 @@
         Some(exchange)
     }
 
-    /// Closes an attempt of which nothing has been sent, so that its id needs no retirement.
+    /// Closes an attempt whose command was never written. Its id is not retired, because no response can
+    /// arrive.
     pub(super) fn close_unsent_attempt(&mut self, attempt: AttemptId) {
         if let Some(correlation_id) = self.attempt_correlation_ids.get(&attempt).cloned() {
             self.close(&correlation_id);
         }
     }
 
-    /// Whether the attempt is open, or cancelled with the cancellation still to be written.
+    /// Returns whether the attempt is open, or cancelled with its cancellation still to be written.
     pub(super) fn has_attempt(&self, attempt: AttemptId) -> bool {
         self.attempt_correlation_ids.contains_key(&attempt)
     }
 
-    /// Cancels an open attempt of which something has been sent: its id is retired.
+    /// Cancels an open attempt whose command has been at least partly written. Its id is retired.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptId, now: Time) {
         if let Some(correlation_id) = self.attempt_correlation_ids.get(&attempt).cloned() {
             self.open_attempts -= 1;
@@ -150,12 +151,13 @@
         }
     }
 
-    /// Takes the id of a cancelled attempt in order to write the cancellation.
+    /// Removes and returns the id of a cancelled attempt, whose cancellation is about to be written.
     pub(super) fn take_cancelled(&mut self, attempt: AttemptId) -> Option<String> {
         self.attempt_correlation_ids.remove(&attempt)
     }
 
-    /// Keeps an id from being used again for a while, because a response may still come under it.
+    /// Retires an id: it cannot be used again for up to [`RETIRED_ID_TTL`], because a late response may still
+    /// arrive.
     pub(super) fn retire(&mut self, correlation_id: String, now: Time) {
         self.entries.insert(correlation_id.clone(), Entry::Retired(now));
         self.retired.push_back(RetiredId {
@@ -165,14 +167,14 @@
         self.expire_retired(now);
     }
 
-    /// Frees the retired ids whose time is over, and the oldest ones if there are too many.
+    /// Frees the retired ids that have expired, and the oldest ones beyond [`MAX_RETIRED_IDS`].
     pub(super) fn expire_retired(&mut self, now: Time) {
         while let Some(oldest) = self.retired.front() {
             let expired = oldest.retired_at + RETIRED_ID_TTL < now;
             if !expired && self.retired.len() <= MAX_RETIRED_IDS {
                 return;
             }
-            // The id may have been opened or retired anew since: only this retirement ends.
+            // The id may have been reopened or retired again in the meantime; that use is not affected.
             if self.entries.get(&oldest.correlation_id) == Some(&Entry::Retired(oldest.retired_at)) {
                 self.entries.remove(&oldest.correlation_id);
             }
@@ -180,7 +182,7 @@
         }
     }
 
-    /// When [`CorrelationTable::expire_retired`] next has something to do.
+    /// Returns when [`CorrelationTable::expire_retired`] must next be called.
     pub(super) fn next_expiry(&self) -> Option<Time> {
         let oldest = self.retired.front()?;
         Some(oldest.retired_at + RETIRED_ID_TTL + Span(1))
