--- a/src/backend/write_queue.rs
+++ b/src/backend/write_queue.rs
@@ -1,38 +1,39 @@
-//! The commands that wait on a connection, and how far each command has been written.
+//! The queue of commands to be written on a connection, and the write progress of each command.
 
 use super::correlation::Exchange;
 use super::worker_command::WorkerCommand;
 use crate::scheduler::{AttemptId, WriteProgress};
 use std::collections::{HashSet, VecDeque};
 
-/// An exchange that was open when its connection closed.
+/// An exchange that was open when its connection closed, and how far its command had been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UnfinishedExchange {
     pub(super) exchange: Exchange,
     pub(super) progress: WriteProgress,
 }
 
-/// The commands that wait on a connection. At most one is being written at a time.
+/// The queue of commands to be written on a connection. At most one command is being written at a time.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     waiting: VecDeque<WorkerCommand>,
-    /// The attempt or load order whose bytes the operating system may not all have taken. Health checks
-    /// are not tracked: they may be repeated however far they were written.
+    /// The attempt or load order whose command the operating system may not have accepted completely. Health
+    /// checks are not tracked, because they can be repeated safely however far they were written.
     writing: Option<Exchange>,
 }
 
 impl WriteQueue {
-    /// Appends a command.
+    /// Appends a command to the queue.
     pub(super) fn push(&mut self, command: WorkerCommand) {
         self.waiting.push_back(command);
     }
 
-    /// Takes the next command. It may only be written once the one before has been written completely.
+    /// Removes and returns the next command. It may be written only after the previous one has been written
+    /// completely.
     pub(super) fn pop(&mut self) -> Option<WorkerCommand> {
         self.waiting.pop_front()
     }
 
-    /// Removes the command that starts an attempt, if it still waits.
+    /// Removes the command that starts an attempt, if it is still queued. Returns whether it was.
     pub(super) fn remove_send(&mut self, attempt: AttemptId) -> bool {
         let sends_attempt = |command: &WorkerCommand| command.exchange() == Some(Exchange::Attempt(attempt));
         let position = self.waiting.iter().position(sends_attempt);
@@ -41,40 +42,41 @@
             .is_some()
     }
 
-    /// Notes that the command of this exchange is being written from now on.
+    /// Records that the command of this exchange is being written.
     pub(super) fn begin_write(&mut self, exchange: Exchange) {
         self.writing = Some(exchange);
     }
 
-    /// The exchange whose command the system may not have taken completely.
+    /// Returns the exchange whose command the operating system may not have accepted completely.
     pub(super) fn writing(&self) -> Option<Exchange> {
         self.writing
     }
 
-    /// Notes that everything has been handed to the operating system; returns the exchange whose command was
-    /// being written.
+    /// Records that the operating system has accepted all bytes. Returns the exchange whose command was being
+    /// written.
     pub(super) fn finish_write(&mut self) -> Option<Exchange> {
         self.writing.take()
     }
 
-    /// Number of commands that wait.
+    /// Returns the number of queued commands.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether no command waits or is being written.
+    /// Returns whether no command is queued or being written.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.writing.is_none()
     }
 
-    /// How far each exchange had come when the connection closed with `unsent_bytes` left in its buffer:
+    /// Returns the write progress of each open exchange of a connection that closed with `unsent_bytes` in
+    /// its buffer:
     ///
-    /// - [`WriteProgress::NotSent`] if its command still waited;
-    /// - [`WriteProgress::PartiallyWritten`] if its command was being written and bytes of it are left: the
-    ///   line that the worker has received has no end, so that it cannot have been executed;
+    /// - [`WriteProgress::NotSent`] if its command was still queued;
+    /// - [`WriteProgress::PartiallyWritten`] if its command was being written and some of its bytes were
+    ///   unsent: the worker received an incomplete line and cannot have executed it;
     /// - [`WriteProgress::Written`] otherwise.
     ///
-    /// The commands that waited come first, in their order.
+    /// The exchanges of queued commands come first, in the order of the queue.
     pub(super) fn unfinished(
         &self,
         open_exchanges: impl Iterator<Item = Exchange>,
