--- a/src/backend/jsonrpc_codec.rs
+++ b/src/backend/jsonrpc_codec.rs
@@ -1,6 +1,6 @@
-//! The wire format of workers on Unix sockets: JSON-RPC 2.0, one object a line, bodies in base64.
+//! The wire format of workers on Unix sockets: JSON-RPC 2.0, one object per line, with bodies in base64.
 //!
-//! Keys are written in alphabetical order.
+//! Keys are encoded in alphabetical order.
 
 use super::codec::{
     Codec, DecodeError, DecodeErrorKind, ResponseMessage, WorkerMessage, function_name, json_line,
@@ -13,19 +13,19 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-/// Encodes commands to JSON-RPC workers and decodes their responses.
+/// The codec for JSON-RPC workers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct JsonRpcCodec;
 
 const VERSION: &str = "2.0";
 
-/// Error codes of a worker. After any other code the request may have run.
+/// Error codes of a worker. With any other code, the request may have been executed.
 mod error_code {
-    /// The function is not loaded: the request never ran.
+    /// The function is not loaded: the request was not executed.
     pub(super) const MISS: i64 = -32010;
-    /// The worker has no capacity: the request never ran.
+    /// The worker has no capacity: the request was not executed.
     pub(super) const FULL: i64 = -32011;
-    /// The deadline had passed: the request never ran.
+    /// The deadline had passed: the request was not executed.
     pub(super) const EXPIRED: i64 = -32012;
 }
 
@@ -39,7 +39,7 @@
     Probe,
 }
 
-/// A JSON-RPC request, which gets a response under its id.
+/// A JSON-RPC request, which gets a response with the same id.
 #[derive(Serialize)]
 struct Request<'a, Params> {
     id: &'a str,
@@ -58,7 +58,7 @@
 
 #[derive(Serialize)]
 struct CallParams<'a> {
-    /// In base64.
+    /// Body of the request, in base64.
     body: String,
     class: &'a str,
     function: String,
@@ -76,7 +76,7 @@
 
 #[derive(Serialize)]
 struct LoadParams {
-    /// Number of instances to have loaded.
+    /// Minimum number of loaded instances that the worker is to have.
     copies: u8,
     function: String,
 }
@@ -143,7 +143,7 @@
 
     fn decode(&self, line: &[u8]) -> Result<WorkerMessage, DecodeError> {
         let message = parse_object(line).map_err(DecodeError::without_correlation_id)?;
-        // The scheduler gives all its requests ids that are text.
+        // All requests of the scheduler have strings as ids.
         let Some(Value::String(correlation_id)) = message.get("id") else {
             return Err(DecodeError::without_correlation_id(DecodeErrorKind::InvalidId));
         };
@@ -151,7 +151,8 @@
     }
 }
 
-/// Parses a line that may have further and repeated keys, which a worker's JSON-RPC library may well write.
+/// Parses a line as a JSON object. Accepts unknown and duplicate keys, which a worker's JSON-RPC library may
+/// write.
 fn parse_object(line: &[u8]) -> Result<Map<String, Value>, DecodeErrorKind> {
     match serde_json::from_slice(line) {
         Ok(Value::Object(object)) => Ok(object),
@@ -172,7 +173,7 @@
 }
 
 fn interpret_result(result: &Value, correlation_id: &str) -> Result<WorkerMessage, DecodeErrorKind> {
-    // Only responses to health checks have a load.
+    // Only responses to health checks have the key `load`.
     if result.get("load").is_some() {
         let correlation_id = correlation_id.to_owned();
         return Ok(WorkerMessage::Alive { correlation_id });
@@ -207,7 +208,7 @@
     value.and_then(Value::as_u64).map(|count| count as u32)
 }
 
-/// A response of a JSON-RPC worker, which never has a load report.
+/// Creates the message for a JSON-RPC response, which never contains a load report.
 fn response(correlation_id: &str, response: WorkerResponse, instances: Option<u32>) -> WorkerMessage {
     WorkerMessage::Response(ResponseMessage {
         correlation_id: correlation_id.to_owned(),
--- a/src/backend/node_agent_codec.rs
+++ b/src/backend/node_agent_codec.rs
@@ -1,6 +1,6 @@
-//! The wire format of node agents: one JSON object a line, bodies in base64.
+//! The wire format of node agents: one JSON object per line, with bodies in base64.
 //!
-//! The protocol page defines the words. Keys are written in alphabetical order.
+//! The page PROTOCOL defines the keys and verbs. Keys are encoded in alphabetical order.
 
 use super::codec::{
     Codec, DecodeError, DecodeErrorKind, ResponseMessage, WorkerMessage, function_name, json_line,
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Encodes commands to node agents and decodes their responses.
+/// The codec for node agents.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeAgentCodec;
 
@@ -31,7 +31,7 @@
 #[derive(Serialize)]
 #[serde(rename_all = "lowercase")]
 enum CommandVerb {
-    /// Run a request.
+    /// Execute a request.
     Go,
     /// Cancel a request.
     Halt,
@@ -57,7 +57,7 @@
     dedupe: Option<&'a str>,
     /// Request class.
     lane: &'a str,
-    /// Function.
+    /// Name of the function.
     name: String,
     /// Time until the deadline, in milliseconds.
     ttl: u64,
@@ -65,13 +65,13 @@
 
 #[derive(Serialize)]
 struct LoadAttributes {
-    /// Function.
+    /// Name of the function.
     name: String,
-    /// Number of instances to have loaded.
+    /// Minimum number of loaded instances that the node agent is to have.
     replicas: u8,
 }
 
-/// A command that consists of a verb and an id.
+/// Encodes a command that consists only of a verb and an id.
 fn bare_command(verb: CommandVerb, rid: &str) -> Vec<u8> {
     json_line(&AgentCommand {
         attrs: None,
@@ -81,8 +81,8 @@
     })
 }
 
-/// A response of a node agent. Fields may be numbers or text, and unknown or unusable attributes are
-/// tolerated, so that most fields are interpreted only after parsing.
+/// A response from a node agent. Most fields are interpreted only after parsing, because they may be numbers
+/// or strings, and unknown or invalid attributes are ignored.
 #[derive(Deserialize)]
 struct AgentResponse {
     verb: Value,
@@ -101,7 +101,7 @@
     Error,
     Expired,
     Alive,
-    /// The node agent responds, but its process takes no work.
+    /// The node agent responds, but its worker process accepts no requests.
     Dead,
 }
 
@@ -120,9 +120,9 @@
     }
 }
 
-/// Key of the number of loaded instances in a response's attributes.
+/// Key of the number of loaded instances in the attributes of a response.
 const INSTANCES_KEY: &str = "replicas";
-/// Key of the load report in a response's attributes.
+/// Key of the load report in the attributes of a response.
 const LOAD_REPORT_KEY: &str = "rep";
 
 impl Codec for NodeAgentCodec {
@@ -196,7 +196,7 @@
     }))
 }
 
-/// The body of a response; a response without content has an empty one.
+/// Decodes the body of a response, which is empty if the response has no content.
 fn decode_content(response: &AgentResponse) -> Result<Vec<u8>, DecodeErrorKind> {
     let content = response.content.as_deref().unwrap_or_default();
     STANDARD
@@ -209,8 +209,8 @@
     text.parse().ok()
 }
 
-/// The values of a load report such as `inflight:7;util:0.61`. Those that cannot be read are left out, so
-/// that a malformed load report does not spoil the response that carries it.
+/// Returns the metrics of a load report such as `inflight:7;util:0.61`. Metrics that cannot be parsed are
+/// left out, so that a malformed load report does not invalidate the whole response.
 fn load_report(attributes: &Value) -> Vec<ReportedMetric> {
     let report = attributes
         .get(LOAD_REPORT_KEY)
@@ -232,7 +232,7 @@
     (value.is_finite() && value >= 0.0).then_some(value)
 }
 
-/// The text of a field that may be given as text or as a number.
+/// Returns the text of a field that may be a string or a number.
 fn text_or_number(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.clone()),
