--- a/src/backend/tests/connection.rs
+++ b/src/backend/tests/connection.rs
@@ -1,4 +1,4 @@
-//! The phases of a connection and what its health checks say.
+//! Tests of a connection's phases and of the state of its health checks.
 
 use crate::backend::connection::health_check::HealthCheckState;
 use crate::backend::connection::phase::Phase;
@@ -64,7 +64,7 @@
     assert_eq!(state.expire(Time(START.0 - 1)), None);
     assert_eq!(state.expire(START), Some(CHECK));
     assert_eq!((state, state.deadline()), (HealthCheckState::Unresponsive, None));
-    assert_eq!(state.expire(START), None, "it has ended once");
+    assert_eq!(state.expire(START), None, "a health check expires only once");
     state.record_input();
     assert_eq!(state, HealthCheckState::Responsive);
 }
--- a/src/backend/tests/correlation.rs
+++ b/src/backend/tests/correlation.rs
@@ -1,4 +1,4 @@
-//! Open and retired correlation ids.
+//! Tests of open and retired correlation ids.
 
 use super::attempt;
 use crate::backend::correlation::{CorrelationTable, Exchange, MAX_RETIRED_IDS, RETIRED_ID_TTL};
@@ -9,7 +9,7 @@
 const NEXT_ATTEMPT: AttemptId = attempt(1, 1);
 const START: Time = Time(1_000);
 
-/// A time at which an id that was retired at the start has just expired.
+/// The earliest time at which an id that was retired at `START` has expired.
 fn after_expiry() -> Time {
     START + RETIRED_ID_TTL + Span(1)
 }
@@ -63,7 +63,7 @@
     assert!(!table.is_unused("a") && !table.has_open_exchanges());
     assert_eq!(table.next_expiry(), Some(after_expiry()));
     table.expire_retired(START + RETIRED_ID_TTL);
-    assert!(!table.is_unused("a"), "its time is not over");
+    assert!(!table.is_unused("a"), "it has not expired yet");
     table.expire_retired(after_expiry());
     assert!(table.is_unused("a"));
     assert_eq!(table.next_expiry(), None);
--- a/src/backend/tests/jsonrpc_codec.rs
+++ b/src/backend/tests/jsonrpc_codec.rs
@@ -1,4 +1,4 @@
-//! The wire format of JSON-RPC workers.
+//! Tests of the wire format of JSON-RPC workers.
 
 use super::{
     FUNCTION, FUNCTION_NAME, alive, assert_decoded, assert_encoded, decode_error, empty_request, parse,
--- a/src/backend/tests/mod.rs
+++ b/src/backend/tests/mod.rs
@@ -13,11 +13,11 @@
 use serde_json::Value;
 use std::rc::Rc;
 
-/// A function and its name on the wires.
+/// A function id, and below it the name that both wire formats encode it as.
 const FUNCTION: FunctionId = FunctionId(0x7f);
 const FUNCTION_NAME: &str = "000000000000007f";
 
-/// The outcome of decoding a line.
+/// The result of decoding a line.
 type Decoded = Result<WorkerMessage, DecodeError>;
 
 fn response(correlation_id: &str, response: WorkerResponse, instances: Option<u32>) -> Decoded {
@@ -52,14 +52,14 @@
     }
 }
 
-/// Compares encoded lines byte for byte with what is expected before the line feed.
+/// Asserts that each encoded line equals the expected text, byte for byte, followed by a line feed.
 fn assert_encoded<const COUNT: usize>(cases: [(Vec<u8>, &str); COUNT]) {
     for (line, expected) in cases {
         assert_eq!(String::from_utf8(line).unwrap(), format!("{expected}\n"));
     }
 }
 
-/// A request whose class has characters that JSON escapes, or may.
+/// A request with an idempotency key, and a class that contains characters that JSON encoders may escape.
 fn request_with_key() -> RequestPayload {
     RequestPayload {
         correlation_id: "9b1f".to_owned(),
--- a/src/backend/tests/node_agent_codec.rs
+++ b/src/backend/tests/node_agent_codec.rs
@@ -1,4 +1,4 @@
-//! The wire format of node agents.
+//! Tests of the wire format of node agents.
 
 use super::{
     FUNCTION, FUNCTION_NAME, alive, assert_decoded, assert_encoded, decode_error, empty_request, parse,
--- a/src/backend/tests/write_queue.rs
+++ b/src/backend/tests/write_queue.rs
@@ -1,4 +1,4 @@
-//! How far a command had been written when its connection closed.
+//! Tests of the write queue, above all of the write progress of commands whose connection closes.
 
 use super::{attempt, load_command, send_command};
 use crate::backend::correlation::Exchange;
@@ -19,7 +19,7 @@
     }
 }
 
-/// The progress of each exchange when the connection closes.
+/// Returns the write progress of each exchange when the connection closes.
 fn progress(queue: &WriteQueue, open: &[Exchange], unsent_bytes: usize) -> Vec<(Exchange, WriteProgress)> {
     let unfinished = queue.unfinished(open.iter().copied(), unsent_bytes);
     let pair = |entry: UnfinishedExchange| (entry.exchange, entry.progress);
@@ -107,7 +107,7 @@
     queue.push(send_command(SECOND_ATTEMPT));
     assert!(queue.remove_send(SECOND_ATTEMPT));
     assert!(!queue.remove_send(SECOND_ATTEMPT));
-    assert!(queue.pop().is_some(), "the first attempt's");
+    assert!(queue.pop().is_some(), "the first attempt's command");
     assert!(!queue.remove_send(FIRST_ATTEMPT));
     assert!(queue.pop().is_none());
 }
