--- a/tests/policy/outage_service.rs
+++ b/tests/policy/outage_service.rs
@@ -71,7 +71,7 @@
             self.run_until(arrives_at);
             let function = self.random.next_u64() % FUNCTIONS;
             let actions = self.harness.receive(request(number, function));
-            self.take_in(&actions);
+            self.record_sends(&actions);
             if arrives_at >= stale_at {
                 late_requests.push(RequestId(number));
             }
@@ -95,7 +95,7 @@
                 self.harness.watch_changed(WatchStatus::Confirmed);
             }
             let actions = self.harness.handle(Event::TimerFired);
-            self.take_in(&actions);
+            self.record_sends(&actions);
             self.end_attempts();
         }
     }
@@ -113,11 +113,11 @@
                 self.served.insert(request);
             }
             let actions = self.harness.finish_attempt(request, attempt, status);
-            self.take_in(&actions);
+            self.record_sends(&actions);
         }
     }
 
-    fn take_in(&mut self, actions: &[Action]) {
+    fn record_sends(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Send { id, worker, .. } = action {
                 self.begin_attempt(*id, *worker);
