--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -102,14 +102,14 @@
 }
 
 /// A worker of the zone that the test cuts off.
-fn is_cut_off(worker: &WorkerId) -> bool {
+fn is_unreachable(worker: &WorkerId) -> bool {
     worker.0 % 2 == 1
 }
 
 /// Submits a request for a function of its own, answers it unless its worker is cut off, and returns the worker.
 fn place_and_serve(harness: &mut PolicyHarness, id: u32) -> WorkerId {
     let worker = harness.receive_and_place(request(id, u64::from(id)))[0];
-    if !is_cut_off(&worker) {
+    if !is_unreachable(&worker) {
         harness.finish_last_attempt(AttemptStatus::Ok);
     }
     worker
@@ -134,13 +134,13 @@
     let mut place_next = |harness: &mut PolicyHarness| place_and_serve(harness, ids.next().unwrap());
     let mut silent = BTreeSet::new();
     while silent.len() < 3 {
-        silent.extend(Some(place_next(&mut harness)).filter(is_cut_off));
+        silent.extend(Some(place_next(&mut harness)).filter(is_unreachable));
     }
     let cancels = cancel_count(&harness.advance_ms(390));
     assert_eq!(cancels, 0, "half the latency objective of 800 ms has not passed");
-    while is_cut_off(&place_next(&mut harness)) {}
+    while is_unreachable(&place_next(&mut harness)) {}
     assert!(cancel_count(&harness.advance_ms(210)) >= 3);
-    assert!((0..30).all(|_| !is_cut_off(&place_next(&mut harness))));
+    assert!((0..30).all(|_| !is_unreachable(&place_next(&mut harness))));
 }
 
 /// rennes-campus, case3338: an attempt that ended without a response did not count against its worker.
