--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -45,7 +45,7 @@
 
 /// An attempt of the simulated fleet that will be responded to.
 struct InFlight {
-    answered_at_ms: u64,
+    response_at_ms: u64,
     scheduler: usize,
     request: RequestId,
     attempt: u16,
@@ -135,9 +135,9 @@
             harness.receive(request(self.last_id, function));
         }
         for sent in &harness.sent[sent_before..] {
-            let answered_at_ms = now_ms + LATENCY_MS;
+            let response_at_ms = now_ms + LATENCY_MS;
             let attempt = InFlight {
-                answered_at_ms,
+                response_at_ms,
                 scheduler,
                 request: sent.request,
                 attempt: sent.attempt,
@@ -154,7 +154,7 @@
         while self
             .in_flight
             .front()
-            .is_some_and(|attempt| attempt.answered_at_ms <= now_ms)
+            .is_some_and(|attempt| attempt.response_at_ms <= now_ms)
         {
             if let Some(due) = self.in_flight.pop_front() {
                 self.schedulers[due.scheduler].finish_attempt(due.request, due.attempt, AttemptStatus::Ok);
