--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -137,7 +137,7 @@
 
 /// Answers the attempts from the `answered`-th on, and those that follow, as workers would of which the first two are
 /// draining.
-fn answer_attempts(harness: &mut PolicyHarness, answered: &mut usize) {
+fn respond_to_attempts(harness: &mut PolicyHarness, answered: &mut usize) {
     while let Some(sent) = harness.sent.get(*answered).copied() {
         *answered += 1;
         let is_draining = sent.worker.0 <= 2;
@@ -159,7 +159,7 @@
     let mut answered = 0;
     for n in 0..12 {
         harness.receive(request(n, u64::from(n)));
-        answer_attempts(&mut harness, &mut answered);
+        respond_to_attempts(&mut harness, &mut answered);
     }
     let used = harness.workers_used();
     assert!(
@@ -171,7 +171,7 @@
     for n in 100..140 {
         let actions = harness.receive(request(n, u64::from(n)));
         assert_eq!(rejection_cause(&actions), None);
-        answer_attempts(&mut harness, &mut answered);
+        respond_to_attempts(&mut harness, &mut answered);
     }
     let sent_late = &harness.sent[before..];
     assert!(sent_late.len() >= 37, "three at most wait to renew a lease");
--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -150,7 +150,7 @@
     }
 
     /// Answers all attempts that are due.
-    fn answer_attempts(&mut self, now_ms: u64) {
+    fn respond_to_attempts(&mut self, now_ms: u64) {
         while self
             .in_flight
             .front()
@@ -171,7 +171,7 @@
             for scheduler in 0..self.schedulers.len() {
                 self.step_scheduler(scheduler, now_ms);
             }
-            self.answer_attempts(now_ms);
+            self.respond_to_attempts(now_ms);
         }
     }
 }
