--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -196,11 +196,11 @@
             ..test_settings(OnMiss::Load)
         };
         let mut harness = PolicyHarness::new(settings, 1);
-        let from_the_future = endpoint_started_at(COLD_WORKER.0, harness.now + hour);
-        harness.update_endpoints(EndpointUpdateKind::Delta, vec![from_the_future]);
+        let future_endpoint = endpoint_started_at(COLD_WORKER.0, harness.now + hour);
+        harness.update_endpoints(EndpointUpdateKind::Delta, vec![future_endpoint]);
         harness.advance_ms(20_000);
         // Listed once more, as with any later change.
-        harness.update_endpoints(EndpointUpdateKind::Delta, vec![from_the_future]);
+        harness.update_endpoints(EndpointUpdateKind::Delta, vec![future_endpoint]);
         sent_to_it += harness.receive_and_place(request(1, u64::from(index))).len();
     }
     assert_eq!(sent_to_it, 100, "it is warm after 18 s");
