--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -8,7 +8,7 @@
 };
 
 #[test]
-fn unknown_and_absurd_events_are_ignored() {
+fn unknown_and_invalid_events_are_ignored() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 2);
     harness.finish_attempt(RequestId(9), 3, AttemptStatus::Ok);
     harness.finish_load(WorkerId(77), FunctionId(8), LoadStatus::Error);
