--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Unknown, repeated and absurd events, and determinism.
+//! Unknown, repeated and invalid events, and determinism.
 
 use crate::support::policy_fixtures::{IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures};
@@ -13,12 +13,12 @@
     harness.finish_attempt(RequestId(9), 3, AttemptStatus::Ok);
     harness.finish_load(WorkerId(77), FunctionId(8), LoadStatus::Error);
     harness.handle(Event::ClientDisconnected(RequestId(9)));
-    for (n, absurd) in [0.0, f64::NAN, f64::INFINITY, -3.0].into_iter().enumerate() {
+    for (n, invalid) in [0.0, f64::NAN, f64::INFINITY, -3.0].into_iter().enumerate() {
         let ordinary = request(100 + n as u32, 3);
         let remaining = Span(n as u64);
         harness.receive(IncomingRequest {
-            memory_mb: absurd,
-            concurrency: absurd,
+            memory_mb: invalid,
+            concurrency: invalid,
             remaining,
             ..ordinary
         });
