--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -63,7 +63,7 @@
 /// Overload days: requests that found their primary worker without capacity started loads on one worker after the
 /// other.
 #[test]
-fn primary_worker_at_capacity_does_not_spread_loads_along_the_rendezvous_order() {
+fn primary_worker_at_capacity_does_not_spread_loads_along_the_hash_order() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 8);
     for n in 0..20 {
         harness.receive(request(n, 7));
