--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -186,7 +186,7 @@
 /// The start is a time of the worker's wall clock, which may be ahead of this machine's, or this one's may have been
 /// stepped back. A worker cannot have started after it was listed: it warms up from then on, and not an hour later.
 #[test]
-fn a_worker_that_starts_in_the_future_by_this_clock_warms_up_all_the_same() {
+fn worker_with_a_start_time_in_the_future_still_warms_up() {
     let hour = Span::from_millis(3_600_000);
     let mut sent_to_it = 0;
     for index in 0..100 {
