--- a/tests/policy/outage_service.rs
+++ b/tests/policy/outage_service.rs
@@ -168,7 +168,7 @@
 /// Rates in requests a second, latencies, and the fraction, 0 to 1, that has to be served in the mean. With few
 /// requests, the one worker that still has a lease may be the one that drains late: then nothing is left.
 #[test]
-fn a_scheduler_serves_through_an_outage_whatever_its_rate() {
+fn scheduler_serves_requests_through_a_discovery_outage_at_any_rate() {
     let cases = [
         (100.0, 5..=60, 0.99),
         (100.0, 100..=300, 0.99),
