--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -77,7 +77,7 @@
         let function = &self.cluster.functions[&request.function];
         let demand = self.demand(function, request.class);
         let by_index: Vec<&Worker> = self.cluster.workers.values().collect();
-        let workers = order.iter().map(|place| by_index[*place]);
+        let workers = order.iter().map(|index| by_index[*index]);
         let needs_lease = self.is_list_stale(self.now);
         let allowed = workers.filter(|worker| {
             worker.endpoint.is_ready()
@@ -97,7 +97,7 @@
         };
         let workers = workers.into_iter().enumerate();
         let candidates =
-            workers.map(|(place, w)| self.candidate(request, function, w, place < presumed_instances));
+            workers.map(|(rank, w)| self.candidate(request, function, w, rank < presumed_instances));
         Placement {
             request: id,
             function: request.function,
--- a/tests/policy/outage_service.rs
+++ b/tests/policy/outage_service.rs
@@ -102,13 +102,13 @@
 
     fn end_attempts(&mut self) {
         let now = self.harness.now;
-        while let Some(place) = self.in_flight.iter().position(|attempt| attempt.ends_at <= now) {
+        while let Some(index) = self.in_flight.iter().position(|attempt| attempt.ends_at <= now) {
             let InFlight {
                 request,
                 attempt,
                 status,
                 ..
-            } = self.in_flight.remove(place);
+            } = self.in_flight.remove(index);
             if status == AttemptStatus::Ok {
                 self.served.insert(request);
             }
