--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: adaptive concurrency limits of the workers, and load shedding.
 //!
-//! Two signals tell how loaded the workers are. Saturation is the mean fraction of its latency objective that
-//! an attempt used, of one worker or of all. A worker is at capacity when its concurrency limit allows this
-//! scheduler no further request there. [`Policy::queue_or_shed`] is for requests that find no worker below
-//! its limit.
+//! Two signals show how loaded the workers are. Saturation is the mean fraction of the latency objective
+//! that attempts used, for one worker or for all. A worker is at capacity when its concurrency limit allows
+//! this scheduler no further request there. [`Policy::queue_or_shed`] handles requests for which no worker
+//! is below its limit.
 
 use super::placement::RETRY_DELAY;
 use super::{Policy, Timer};
@@ -12,9 +12,7 @@
 use crate::model::{AttemptOutcome, AttemptStatus, RejectionCause, RequestId, Span, Time};
 use rand_core::RngCore;
 
-/// Bounds of a worker's concurrency limit: the most requests of this scheduler in flight there.
-///
-/// Limits in requests, from 1 up; the figures of [`AimdBounds`]. Source: inherited.
+/// Bounds of the concurrency limit of a worker, in requests of this scheduler that are in flight there.
 pub(super) const CONCURRENCY_LIMIT: AimdBounds = AimdBounds {
     initial: 8.0,
     min: 1.0,
@@ -24,49 +22,40 @@
     decrease_interval: Span::from_millis(150),
     headroom: 2.0,
 };
-/// Saturation above which a worker has too many requests in flight.
+/// Saturation, 0 to 1, above which a worker has too many requests in flight.
 ///
-/// Fraction, 0 to 1. At a mean of 0.35 one request in 17 is late if latencies are distributed exponentially
-/// (1 / exp(1 / 0.35)). Source: inherited.
+/// At a mean of 0.35, one request in 17 is late if latencies are distributed exponentially:
+/// `1 / exp(1 / 0.35)`.
 pub(super) const WORKER_SATURATION: f64 = 0.35;
-/// Weight of a response in its worker's saturation.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Weight, 0 to 1, of a response in the saturation of its worker.
 const WORKER_SATURATION_WEIGHT: f64 = 0.15;
-/// Saturation over all workers from which new requests are shed.
-///
-/// Fraction, 0 to 1, exclusive. Source: inherited.
+/// Saturation over all workers, 0 to 1 (exclusive), from which new requests are shed.
 const SHED_SATURATION: f64 = 0.5;
-/// Priority for its work, as a multiple of another class's, from which a class has high priority. Its
-/// requests are shed later, and a worker's concurrency limit is this multiple for them.
+/// Ratio, above 1, between the priorities of two classes from which the one with the higher priority is a
+/// high-priority class.
 ///
-/// Ratio, above 1. Source: inherited.
+/// The priority of a class is its weight relative to its work. Requests of a high-priority class are shed
+/// later, and the concurrency limit of a worker is multiplied by this ratio for them.
 const HIGH_PRIORITY_RATIO: f64 = 1.5;
-/// What the first request that waits for a load counts less in its worker's limit than one that runs.
-///
-/// Requests, 0 to 1. Source: measured (commit 6bfc9c2; journal 20261201T163332). The discount for every
-/// request that waits for a load, not the first alone, was tried and not kept (20261201T162955).
+/// Fraction, 0 to 1, of a request by which the first request that waits for a loading instance counts less
+/// towards the limit of the worker than a running request.
 const LOADING_DISCOUNT: f64 = 0.5;
-/// Fraction of the workers at capacity above which the fleet is overloaded and waits are cut short.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Fraction, 0 to 1, of the workers at capacity above which the fleet is overloaded and waits are cut short.
 const OVERLOADED_FRACTION: f64 = 0.5;
-/// How long a request may wait for capacity in an overloaded fleet, as a fraction of its latency objective.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Longest wait for capacity in an overloaded fleet, as a fraction (0 to 1) of the latency objective of a
+/// request.
 const OVERLOADED_MAX_WAIT_FRACTION: f64 = 0.2;
-/// How long a request may wait for capacity at all, as a fraction of the time until its deadline.
+/// Longest wait for capacity, as a fraction (0 to 0.5) of the time from receipt to the deadline.
 ///
-/// Fraction, 0 to 0.5: PROTOCOL prices a rejection after more than half of the time. Source: inherited,
-/// within the range of PROTOCOL.
+/// The page PROTOCOL penalizes a rejection after more than half of that time.
 pub(super) const MAX_WAIT_FRACTION: f64 = 0.4;
-/// Least divisor where a time is divided by.
-///
-/// Seconds, above 0. Source: inherited.
+/// Lower bound, in seconds, of a time that is used as a divisor.
 const MIN_DIVISOR_SECONDS: f64 = 0.001;
 
-/// The fraction of its latency objective that an attempt used, where that shows how loaded workers are:
-/// neither a wait for a load does, nor a request's second rejection.
+/// Returns the fraction of the latency objective that an attempt used, if it shows how loaded the workers
+/// are.
+///
+/// Neither a wait for a load nor a rejection after the first attempt of a request does.
 pub(super) fn objective_used(attempt: &Attempt, outcome: &AttemptOutcome) -> Option<f64> {
     let objective = attempt.latency_objective.as_secs_f64().max(MIN_DIVISOR_SECONDS);
     let fraction = (outcome.latency.as_secs_f64() / objective).min(1.0);
@@ -94,12 +83,13 @@
 }
 
 impl Policy {
-    /// Draws whether a new request is shed, before it queues anywhere: the further saturation is beyond
-    /// [`SHED_SATURATION`], the likelier.
+    /// Draws whether a new request is shed before it is queued.
+    ///
+    /// The probability grows with the excess of the saturation over [`SHED_SATURATION`].
     pub(super) fn should_shed(&mut self, class: usize) -> bool {
         let overload = (self.saturation.value() - SHED_SATURATION) / (1.0 - SHED_SATURATION);
         let is_high = self.is_high_priority(class);
-        // High priority is shed only from half of the overload on.
+        // Requests of high priority are shed only in the upper half of the overload range.
         let probability = if is_high { overload * 2.0 - 1.0 } else { overload };
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX) < probability
     }
@@ -115,8 +105,10 @@
         others.any(|other| priority(class) > priority(other) * HIGH_PRIORITY_RATIO)
     }
 
-    /// Whether a worker's limit allows another request. The first that waits for a load takes no core there
-    /// yet; more of them will want their cores at once.
+    /// Returns whether the concurrency limit of a worker allows another request.
+    ///
+    /// The first request that waits for a loading instance counts less, because it uses no core yet. Further
+    /// requests for that instance count in full: they need their cores at the same time, once it is loaded.
     pub(super) fn has_capacity(&self, worker: &Worker, class: usize) -> bool {
         let is_high = self.is_high_priority(class);
         let factor = if is_high { HIGH_PRIORITY_RATIO } else { 1.0 };
@@ -125,14 +117,15 @@
         f64::from(worker.load.in_flight()) - loading * LOADING_DISCOUNT + 1.0 <= limit.max(1.0)
     }
 
-    /// Measures the fraction of the workers that are at capacity, by the first class.
+    /// Measures the fraction of the workers that are at capacity for the first class.
     pub(super) fn measure_fraction_at_capacity(&mut self) {
         let workers = self.cluster.workers.values();
         let at_capacity = workers.filter(|w| !self.has_capacity(w, 0)).count();
         self.fraction_at_capacity = at_capacity as f64 / self.cluster.workers.len().max(1) as f64;
     }
 
-    /// Queues a request here, where it makes no worker's queue longer, or sheds it where it would be late.
+    /// Queues a request in the scheduler, where it lengthens no queue of a worker, or ends it if it has
+    /// waited too long.
     pub(super) fn queue_or_shed(&mut self, id: RequestId) {
         self.measure_fraction_at_capacity();
         let request = &self.cluster.requests[&id];
