--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -1,4 +1,5 @@
-//! Candidates of a placement: the workers that a request may be sent to, and what speaks for each.
+//! Candidates of a placement: the workers that a request may be sent to, and the properties they are
+//! compared by.
 
 use super::Policy;
 use super::outcomes::LATENCY_RATIO;
@@ -6,42 +7,29 @@
 use crate::collections::retain_unless_few;
 use crate::model::{FunctionId, RequestId, Span, WorkerId};
 
-/// How long a miss says that an instance is not loaded.
-///
-/// Time, above 0. Source: inherited.
+/// Time for which a miss is evidence that the instance is not loaded.
 const MISS_VALIDITY: Span = Span::from_millis(1000);
-/// Workers in hash order that a request looks at for each instance wanted...
-///
-/// Workers for each instance, from 1 up. Source: inherited.
+/// Workers in hash order, for each wanted instance, that are considered for a request.
 const CANDIDATES_PER_INSTANCE: usize = 2;
-/// ...and this many more.
-///
-/// Workers, from 0 up. Source: inherited.
+/// Workers in hash order that are considered in addition to [`CANDIDATES_PER_INSTANCE`].
 const EXTRA_CANDIDATES: usize = 12;
-/// Requests in flight that crossing a zone weighs as, for each unit of its price.
-///
-/// Requests for each unit of the price, from 0 up. Source: inherited.
+/// Load, in requests in flight for each unit of the cross-zone price, that a worker in another zone is
+/// charged.
 const CROSS_ZONE_WEIGHT: f64 = 10.0;
-/// Fraction of the workers that must not be ejected for the ejected ones to be left out.
+/// Fraction, 0 to 1, of the workers that must not be ejected for the ejected ones to be left out.
 ///
-/// Fraction, 0 to 1. Source: measured (commit 81edb9a; journal 20261201T162230). With the half that was
-/// inherited a zone that was cut off was sent requests again.
+/// At one half, requests are sent again to a zone that is unreachable.
 const MIN_HEALTHY_FRACTION: f64 = 0.25;
-/// A worker is a hotspot with more than this many times the mean requests in flight...
-///
-/// Ratio, above 1. Source: measured (commit e761fed; journal 20261201T155907). With 1.5 the scores were lower
-/// (20261201T161800).
+/// Ratio, above 1, of the requests in flight on a worker to the mean, above which the worker may be a
+/// hotspot.
 const HOTSPOT_FACTOR: f64 = 2.0;
-/// ...and this many more.
-///
-/// Requests, from 0 up. Source: judgement (commit e761fed); only measured together with the factor.
+/// Requests in flight, in addition to [`HOTSPOT_FACTOR`] times the mean, that a worker may have before it is
+/// a hotspot.
 const HOTSPOT_ALLOWANCE: f64 = 4.0;
-/// Fraction of the workers that must be no hotspots for the hotspots to be left out.
-///
-/// Fraction, 0 to 1. Source: inherited, where it held for ejected workers.
+/// Fraction, 0 to 1, of the workers that must not be hotspots for the hotspots to be left out.
 const MIN_NON_HOTSPOT_FRACTION: f64 = 0.5;
 
-/// What the worker for a request is chosen from.
+/// The data from which the worker for a request is chosen.
 pub(super) struct Placement {
     pub(super) request: RequestId,
     pub(super) function: FunctionId,
@@ -53,25 +41,25 @@
 /// A worker that may be sent a request.
 pub(super) struct Candidate {
     pub(super) worker: WorkerId,
-    /// What is in flight there, weighed by latency and zone.
+    /// Requests in flight there, weighted by latency and zone.
     pub(super) load: f64,
-    /// Its concurrency limit allows the request.
+    /// Whether the concurrency limit allows the request.
     pub(super) has_capacity: bool,
-    /// Requests that would queue at the instance, this one included: those beyond what it runs at a time.
+    /// Requests that would be queued at the instance, including this one: those beyond its concurrency.
     pub(super) queued_requests: u32,
-    /// An instance is expected loaded there, by what this scheduler knows of the worker.
+    /// Whether an instance is expected to be loaded there, from what this scheduler knows of the worker.
     pub(super) expected_warm: bool,
-    /// Neither has the function been missed there nor the request failed there lately.
+    /// Whether no recent request for the function missed there and this request has not failed there.
     pub(super) has_no_recent_failure: bool,
-    /// An instance is expected there, or presumed by the hash order alone, and nothing has failed there
-    /// lately.
+    /// Whether an instance is expected to be loaded there, or presumed to be from the hash order alone, and
+    /// [`Candidate::has_no_recent_failure`] holds.
     pub(super) is_presumed_warm: bool,
-    /// A request may start a load there.
+    /// Whether a request may start a load there.
     pub(super) may_start_load: bool,
 }
 
 impl Policy {
-    /// What there is to choose from, the workers being given by their places in hash order.
+    /// Collects the data for a placement. `order` lists the workers by index, in hash order.
     pub(super) fn placement(&self, id: RequestId, order: &[usize]) -> Placement {
         let request = &self.cluster.requests[&id];
         let function = &self.cluster.functions[&request.function];
@@ -89,7 +77,8 @@
         if !self.is_replicated_to_all(function) {
             workers.truncate(demand.instances * CANDIDATES_PER_INSTANCE + EXTRA_CANDIDATES);
         }
-        // Other schedulers' requests have had the instances loaded where the common hash order says.
+        // Requests of other schedulers have loaded instances on the first workers of the hash order, which
+        // all schedulers share.
         let presumed_instances = if demand.is_sparsely_sampled {
             demand.instances
         } else {
@@ -106,7 +95,8 @@
         }
     }
 
-    /// Leaves out ejected workers, unless few would be left, and of the rest the hotspots, unless most are.
+    /// Leaves out ejected workers, unless few would remain, and then hotspots, unless most workers are
+    /// hotspots.
     fn without_outliers<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
         let is_healthy = |worker: &&Worker| !worker.health.ejection.is_active(self.now);
         let workers = retain_unless_few(workers, MIN_HEALTHY_FRACTION, is_healthy);
@@ -142,7 +132,8 @@
         }
     }
 
-    /// The load on a worker with a new request: what is in flight there, weighed by its latency and zone.
+    /// Returns the load of a worker for a new request: the requests in flight there, weighted by latency and
+    /// zone.
     pub(super) fn load(&self, worker: &Worker) -> f64 {
         let is_local = worker.endpoint.zone == self.settings.zone;
         let price = self.settings.prices.cross_zone;
