--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,17 +1,17 @@
-//! Leases on the readiness of workers: until when a worker may be given new work, by what is known of it and
-//! how old that is.
+//! Leases on the readiness of workers: until when a worker may be sent new work, given the age of the
+//! information about it.
 //!
-//! A drain counts as notified although discovery cannot deliver it, and from then on a grace period runs in
-//! which new work must cease. So what the endpoint list says of a worker holds for a limited time only. Two
-//! things renew it:
+//! A drain counts as notified even if discovery cannot deliver the notification. New work must cease by the
+//! end of a grace period that starts then. Therefore an entry of the endpoint list is valid for a limited
+//! time only. Two events renew it:
 //!
 //! - *Discovery confirms the list.* The lease on the list covers all workers.
-//! - *The worker accepts an attempt.* A draining worker rejects what is new, so the worker was not draining
-//!   when that attempt was sent. This lease covers that worker alone, and counts from the sending, not from
-//!   the response.
+//! - *A worker accepts an attempt.* A draining worker rejects new work, so the worker was not draining when
+//!   the attempt was sent. This lease covers that worker alone and starts when the attempt was sent, not
+//!   when the response arrived.
 //!
-//! No other response of a worker is evidence. Queries for loaded instances, load orders for what is loaded
-//! already and health checks succeed at a draining worker, too; and a rejection does not tell a drain from a
+//! No other response of a worker is evidence. Queries for loaded instances, load orders for loaded instances
+//! and health checks also succeed at a draining worker, and a rejection does not distinguish a drain from a
 //! lack of capacity.
 
 use super::Policy;
@@ -19,35 +19,32 @@
 use crate::model::{EndpointSource, Span, Time, WatchStatus, WorkerId};
 use thiserror::Error;
 
-/// What discovery could not deliver counts as notified so long after it fell silent.
-///
-/// Time, above 0. Source: PROTOCOL, "Figures", and TERMS, "Bad peers".
+/// Time after discovery falls silent at which undelivered changes count as notified (page PROTOCOL,
+/// "Figures", and page TERMS, "Bad peers").
 const NOTIFIED_AFTER_SILENCE: Span = Span::from_millis(4_000);
-/// The same after the connection to it has ended.
-///
-/// Time, above 0. Source: TERMS, "Bad peers".
+/// Time after the end of the connection to discovery at which undelivered changes count as notified (page
+/// TERMS, "Bad peers").
 const NOTIFIED_AFTER_DISCONNECT: Span = Span::from_millis(2_000);
-/// How long an event confirms the list: more may be on their way, and if not, a heartbeat follows.
+/// Time for which an event confirms the list: more events may follow, and otherwise a heartbeat does.
 ///
-/// Time, above 0. Source: PROTOCOL, "The event bus" (a heartbeat each second).
+/// Discovery sends a heartbeat each second (page PROTOCOL, "The event bus").
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
-/// From so long before what was not delivered counts as notified, an outage is expected: two heartbeats are
-/// missing then.
+/// Time before undelivered changes count as notified at which an outage of discovery is suspected.
 ///
-/// Time, above 0. Source: PROTOCOL, as above.
+/// Two heartbeats are missing by then (page PROTOCOL, "The event bus").
 const OUTAGE_SUSPICION_LEAD: Span = Span::from_millis(2_000);
-/// Fraction of the grace period in which new work may still be sent; the rest is for the way to the worker.
-///
-/// Fraction, 0 to 1. Source: judgement.
+/// Fraction, 0 to 1, of the grace period in which new work may be sent; the rest covers the delivery to the
+/// worker.
 const GRACE_FRACTION: f64 = 0.9;
 
-/// Why a worker must not be given new work.
+/// The reason why a worker must not be sent new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum WorkerUnavailable {
-    /// The endpoint list does not have it, or not as ready.
+    /// The endpoint list does not contain the worker, or not as ready.
     #[error("its worker takes no new work")]
     NotReady,
-    /// The endpoint list is stale, and the worker has not accepted an attempt lately: it may be draining.
+    /// The endpoint list is stale and the worker has not accepted an attempt recently, so it may be
+    /// draining.
     #[error("its worker is not confirmed ready")]
     LeaseExpired,
 }
@@ -57,24 +54,24 @@
 pub struct ExpiredLease {
     /// The worker.
     pub worker: WorkerId,
-    /// How long ago the last attempt was sent that it accepted; none where it has not accepted any.
+    /// Time since the last accepted attempt was sent, or `None` if the worker has not accepted any.
     pub accepted_ago: Option<Span>,
-    /// Attempts that it has rejected since.
+    /// Number of attempts that the worker has rejected since.
     pub rejections: u32,
 }
 
 /// The lease on the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ListLease {
-    /// From when a change that has not been delivered counts as notified. None without a discovery service:
-    /// such a list does not age.
+    /// Time from which an undelivered change counts as notified, or `None` without a discovery service,
+    /// where the list does not age.
     notified_from: Option<Time>,
-    /// When discovery last confirmed the list.
+    /// Time at which discovery last confirmed the list.
     confirmed_at: Time,
 }
 
 impl ListLease {
-    /// Takes in what has become of the watch at `at`.
+    /// Updates the lease for a change of the watch at `at`.
     fn update(&mut self, at: Time, status: WatchStatus) {
         let no_later_than = |limit: Time| self.notified_from.map_or(limit, |present| present.min(limit));
         if status == WatchStatus::Confirmed {
@@ -83,7 +80,8 @@
         let no_earlier_than = |limit: Time| self.notified_from.map_or(limit, |present| present.max(limit));
         self.notified_from = match status {
             WatchStatus::Disabled => None,
-            // Whoever asks counts as notified of all that was published before, whenever the response comes.
+            // A request counts as notification of everything published before it, no matter when its
+            // response arrives.
             WatchStatus::Requested => Some(no_later_than(at)),
             WatchStatus::EventReceived => Some(no_earlier_than(at + HEARTBEAT_INTERVAL)),
             WatchStatus::Confirmed => Some(at + NOTIFIED_AFTER_SILENCE),
@@ -93,8 +91,10 @@
 }
 
 impl Policy {
-    /// Takes in what has become of the watch of the endpoint list at `at`. Returns whether requests need not
-    /// wait any longer: then an [`Event::TimerFired`](crate::model::Event::TimerFired) is to follow.
+    /// Handles a change of the watch of the endpoint list at `at` and returns whether held requests were
+    /// released.
+    ///
+    /// In that case, the caller must send an [`Event::TimerFired`](crate::model::Event::TimerFired).
     pub fn watch_changed(&mut self, at: Time, status: WatchStatus) -> bool {
         self.list_lease.update(at, status);
         let releases = status == WatchStatus::Confirmed && !self.held_requests.is_empty();
@@ -104,18 +104,18 @@
         releases
     }
 
-    /// When the endpoint list becomes stale, if discovery does not confirm it before; none if it does not
-    /// age.
+    /// Returns when the endpoint list becomes stale unless discovery confirms it before, or `None` if it
+    /// does not age.
     pub fn list_stale_at(&self) -> Option<Time> {
         Some(self.list_lease.notified_from? + self.usable_grace())
     }
 
-    /// Whether the endpoint list says too little of which workers are ready, because it is too old.
+    /// Returns whether the endpoint list is too old to show which workers are ready.
     pub fn is_list_stale(&self, now: Time) -> bool {
         self.list_stale_at().is_some_and(|stale_at| stale_at <= now)
     }
 
-    /// Whether several heartbeats are missing, and what was not delivered counts as notified soon.
+    /// Returns whether several heartbeats are missing, so that undelivered changes soon count as notified.
     pub(super) fn is_outage_suspected(&self) -> bool {
         let soon = self.now + self.usable_grace().min(OUTAGE_SUSPICION_LEAD);
         self.list_lease
@@ -123,11 +123,11 @@
             .is_some_and(|notified_from| notified_from <= soon)
     }
 
-    /// Whether new work may be written to a worker at `now`, and why not.
+    /// Checks whether new work may be written to a worker at `now`.
     ///
     /// # Errors
     ///
-    /// Says why the worker must not be given new work.
+    /// Returns the reason why the worker must not be sent new work.
     pub fn check_available(&self, now: Time, worker: WorkerId) -> Result<(), WorkerUnavailable> {
         let worker = self.cluster.workers.get(&worker);
         let worker = worker.filter(|worker| worker.endpoint.is_ready());
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The ready workers whose leases have expired at `now`.
+    /// Returns the ready workers whose leases have expired at `now`.
     pub fn expired_leases(&self, now: Time) -> Vec<ExpiredLease> {
         let workers = self.cluster.workers.values().filter(|_| self.is_list_stale(now));
         let expired = workers.filter(|worker| worker.endpoint.is_ready() && !self.has_lease(worker, now));
@@ -152,12 +152,13 @@
             .collect()
     }
 
-    /// Whether a worker may be given new work: it is listed as ready, and that still holds.
+    /// Returns whether a worker may be sent new work: it is listed as ready, and that entry is still valid.
     pub(super) fn is_available(&self, worker: &Worker) -> bool {
         worker.endpoint.is_ready() && (!self.is_list_stale(self.now) || self.has_lease(worker, self.now))
     }
 
-    /// Whether no worker may be given new work for want of a lease, and no attempt in flight may bring one.
+    /// Returns whether no worker may be sent new work for lack of a lease, and no attempt in flight can
+    /// renew one.
     pub(super) fn lacks_leases(&self) -> bool {
         let may_renew_lease =
             |worker: &Worker| self.expected_lease(worker).is_some_and(|until| until > self.now);
@@ -166,8 +167,7 @@
             && !workers.any(|worker| self.is_available(worker) || may_renew_lease(worker))
     }
 
-    /// Until when a ready worker may be given new work by what it has accepted, and by what is in flight
-    /// there if it accepts that.
+    /// Returns when the lease of a ready worker expires, assuming that it accepts the attempts in flight.
     pub(super) fn expected_lease(&self, worker: &Worker) -> Option<Time> {
         if !worker.endpoint.is_ready()
             || worker
@@ -179,12 +179,13 @@
         Some(worker.acceptance.last_expected()? + self.usable_grace())
     }
 
-    /// Whether a worker may be given new work although the list is stale.
+    /// Returns whether a worker may be sent new work although the list is stale.
     pub(super) fn has_lease(&self, worker: &Worker, now: Time) -> bool {
         if worker.endpoint.source == EndpointSource::Configuration {
             return true;
         }
-        // A process that has started unnoticed must be spared while it warms up: nobody says that it has.
+        // A new process at the same address needs slow start, and a stale list does not show that it has
+        // started.
         let is_same_process = !worker
             .acceptance
             .was_unreachable_since(self.list_lease.confirmed_at);
