--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,34 +1,25 @@
-//! Health of workers and zones: health checks of silent ones, and ejection with backoff.
+//! Health of workers and zones: health checks of silent workers, and ejection with backoff.
 
 use super::{BACKOFF, Policy};
 use crate::cluster::Worker;
 use crate::model::{Action, HealthCheckStatus, Span, Time, WorkerId, ZoneId};
 use std::collections::BTreeSet;
 
-/// A worker with requests in flight is sent a health check once it has been silent for this long.
-///
-/// Time, above 0. Source: inherited.
+/// Time without a response after which a worker with requests in flight is sent a health check.
 const HEALTH_CHECK_AFTER: Span = Span::from_millis(800);
-/// Unanswered health checks in a row for which a worker is ejected.
-///
-/// Health checks, from 1 up. Source: inherited.
+/// Number of consecutive unanswered health checks after which a worker is ejected.
 const MAX_UNANSWERED_CHECKS: u32 = 2;
-/// Silence after an attempt, as a fraction of its latency objective, from which its zone is suspected.
-///
-/// Fraction, 0 to 1. Source: measured (commit 37883db; journal 20261201T160542). With a third the three
-/// recordings scored lower (20261201T160647 and after).
+/// Time without a response to an attempt from which its zone is suspected, as a fraction (0 to 1) of its
+/// latency objective.
 const ZONE_SILENCE_FRACTION: f64 = 0.5;
-/// Silent workers for which a zone is ejected.
-///
-/// Workers, from 1 up. Source: judgement (commit 37883db).
+/// Number of silent workers for which a zone is ejected.
 const ZONE_SILENT_WORKERS: usize = 3;
-/// The same while all of the zone's workers have been ejected and not responded since.
-///
-/// Workers, from 1 up. Source: measured (commit 37883db; journal 20261201T160626).
+/// Number of silent workers for which a zone is ejected again if none of its workers has responded since the
+/// last ejection.
 const EJECTED_ZONE_SILENT_WORKERS: usize = 1;
 
 impl Worker {
-    /// Ejects a worker that cannot be reached; nothing is expected loaded there.
+    /// Ejects an unreachable worker and expects no instance to be loaded there.
     pub(super) fn eject(&mut self, now: Time) {
         self.health.ejection.begin(now, BACKOFF);
         self.acceptance.record_unreachable(now);
@@ -37,7 +28,9 @@
 }
 
 impl Policy {
-    /// Checks workers that are silent with requests in flight: one that is cut off breaks no connection.
+    /// Starts health checks of silent workers with requests in flight.
+    ///
+    /// A worker that becomes unreachable does not necessarily break its connections.
     pub(super) fn check_silent_workers(&mut self) {
         for attempt in self.cluster.attempts_in_flight() {
             let worker = self.cluster.process_of(&attempt);
@@ -51,7 +44,7 @@
         }
     }
 
-    /// Takes in the end of a health check; a worker that leaves several in a row unanswered is ejected.
+    /// Handles the end of a health check and ejects a worker after several consecutive unanswered ones.
     pub(super) fn health_check_finished(&mut self, id: WorkerId, status: HealthCheckStatus) {
         let worker = self.cluster.workers.get_mut(&id);
         let Some(worker) = worker else { return };
@@ -64,7 +57,7 @@
         }
     }
 
-    /// Ejects the workers of zones that are cut off.
+    /// Ejects the workers of unreachable zones.
     pub(super) fn eject_silent_zones(&mut self) {
         for (zone, workers) in self.cluster.workers_by_zone() {
             let is_zone_unreachable = self.is_zone_unreachable(zone);
@@ -75,8 +68,11 @@
         }
     }
 
-    /// Whether a zone has not responded to several attempts for a fraction of their objective, while another
-    /// zone has responded since. Once all of it has been ejected, one attempt is enough.
+    /// Returns whether a zone is unreachable.
+    ///
+    /// That is the case if several of its workers have not responded to attempts for a fraction of the
+    /// latency objective, while another zone has responded since. Once all workers of the zone have been
+    /// ejected, one such worker is enough.
     fn is_zone_unreachable(&self, zone: ZoneId) -> bool {
         let inside = self
             .cluster
