--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -1,27 +1,23 @@
-//! Renewal of leases where requests are few: some wait a little, so that there is one to send before the last
-//! lease expires. Once no worker has a lease, nothing but discovery brings one back.
+//! Renewal of leases at low request rates: some requests are held back, so that one can be sent shortly
+//! before the last lease expires. Once no worker has a lease, only discovery can restore one.
 
 use super::admission::MAX_WAIT_FRACTION;
 use super::{Policy, Timer};
 use crate::cluster::Request;
 use crate::model::{EndpointSource, RequestId, Time};
 
-/// Requests that wait to renew a lease.
+/// Number of requests that may be held to renew a lease.
 ///
-/// Requests, from 1 up. Source: measured (`tests/policy/outage_service.rs`, 4 requests a second, 40 seeds):
-/// 86% are served; with one less 77%, with one more, which wait too long, 76%, and without any 10%.
+/// With fewer, none may be left when the last lease expires; with more, requests are held for too long.
 const MAX_HELD_REQUESTS: usize = 3;
-/// Workers with leases from which on no request waits: so many show that requests are frequent.
-///
-/// Workers, from 1 up. Source: measured, as above: with two 76% are served, with four 84%.
+/// Number of workers with leases from which no request is held, because requests are evidently frequent.
 const SUFFICIENT_LEASES: usize = 3;
-/// How long before the last lease expires it is renewed, as a fraction of the usable grace period.
-///
-/// Fraction, 0 to 1. Source: measured, as above: with 0.05 86% are served, with 0.2 79%.
+/// Time before the expiry of the last lease at which it is renewed, as a fraction (0 to 1) of the usable
+/// grace period.
 const RENEWAL_MARGIN: f64 = 0.1;
 
 impl Policy {
-    /// Keeps a new request in reserve if it is needed later to renew the last lease; whether it does.
+    /// Holds a new request if it is needed later to renew the last lease, and returns whether it does.
     pub(super) fn hold_for_lease_renewal(&mut self, id: RequestId) -> bool {
         let due_at = self.renewal_due_at(id).filter(|due_at| *due_at > self.now);
         let Some(due_at) = due_at else {
@@ -40,7 +36,7 @@
         true
     }
 
-    /// When a request is to renew the last lease; none if it need not wait for that.
+    /// Returns when a request is to renew the last lease, or `None` if it need not be held.
     fn renewal_due_at(&self, id: RequestId) -> Option<Time> {
         let stale_at = self.list_stale_at().filter(|_| self.is_outage_suspected())?;
         let request = self.cluster.requests.get(&id)?;
@@ -54,15 +50,17 @@
         Some(due_at.min(waits_until))
     }
 
-    /// Has the requests in reserve placed at `at`: the list is confirmed, and they need not wait any longer.
+    /// Schedules the placement of all held requests at `at`, because the list is confirmed.
     pub(super) fn release_held_requests(&mut self, at: Time) {
         for id in std::mem::take(&mut self.held_requests) {
             self.timers.schedule(at, Timer::Placement(id));
         }
     }
 
-    /// When the last lease expires, that on the list included, if few workers have a lease after `limit`.
-    /// None also where a worker needs no lease.
+    /// Returns when the last lease expires, including that on the list, if few workers have a lease after
+    /// `limit`.
+    ///
+    /// Returns `None` also if a worker needs no lease.
     fn last_of_few_leases(&self, limit: Time) -> Option<Time> {
         let mut workers = self.cluster.workers.values();
         if workers.any(|worker| worker.endpoint.source == EndpointSource::Configuration) {
@@ -76,7 +74,7 @@
     }
 }
 
-/// Whether no attempt of a request has been begun.
+/// Returns whether no attempt of a request has begun.
 fn is_new(request: &Request) -> bool {
     request.in_flight().is_none() && request.attempts() == 0
 }
