--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,40 +1,37 @@
-//! The decisions of one scheduler: a state machine without clock, I/O or threads. Its events, actions and
-//! settings are in `src/model/mod.rs`, what it knows of the cluster in `src/cluster/mod.rs`.
+//! The decisions of one scheduler, as a state machine without clock, I/O or threads.
 //!
-//! This file has the state, the dispatch of events and timers, and the periodic maintenance. Each decision is
-//! in a module that adds methods to [`Policy`]:
+//! Its events, actions and settings are defined in `src/model/mod.rs`, its knowledge of the cluster in
+//! `src/cluster/mod.rs`.
 //!
-//! - `requests`: whether a request is retried, and how it ends;
-//! - `placement`: which worker it is sent to, out of the `candidates`;
-//! - `admission`: whether it is admitted, queued or shed, and the workers' concurrency limits;
-//! - `endpoint_lease`: until when a worker may be given new work, by the age of what is known of it;
-//! - `lease_renewal`: which requests wait to renew a lease;
-//! - `slow_start`: what a worker that is warming up may be sent;
-//! - `popularity`: the tiers of the functions, and how many instances are wanted;
-//! - `prewarm`: the load orders;
-//! - `outcomes`: what the end of an attempt says;
-//! - `health`: health checks and ejection.
+//! This file holds the state, dispatches events and timers, and runs the periodic maintenance. Each kind of
+//! decision is in a module of its own, which adds methods to [`Policy`]:
 //!
-//! The tiers gold, silver and bronze are the terms of the paper that the design follows: Björkqvist et al.,
+//! - `requests`: decides whether a request is retried, and how it ends;
+//! - `placement`: chooses the worker for a request from the `candidates`;
+//! - `admission`: admits, queues or sheds requests, and adapts the concurrency limits of the workers;
+//! - `endpoint_lease`: determines until when a worker may be sent new work, given the age of the information
+//!   about it;
+//! - `lease_renewal`: holds requests back so that they can renew a lease;
+//! - `slow_start`: limits what a worker is sent while it warms up;
+//! - `popularity`: assigns functions to tiers and estimates how many instances are wanted;
+//! - `prewarm`: issues load orders;
+//! - `outcomes`: evaluates the end of each attempt;
+//! - `health`: runs health checks and ejects workers.
+//!
+//! The tiers gold, silver and bronze are terms of the paper that the design follows: Björkqvist et al.,
 //! "Minimizing Retrieval Latency for Content Cloud".
 //!
 //! # Constants
 //!
-//! Each constant has a line with its unit, its range and its source. A `Span` carries its unit.
-//! The sources are:
-//!
-//! - a page by name: PAPER is the paper above, DESIGN the page that adapts it; PROTOCOL and WIRE are the
-//!   pages on what the program must keep;
-//! - measured: the plays of the journal that were compared, by the time at the head of their files' names,
-//!   and the commit that set the value;
-//! - inherited: the value of the program as it was first taken in (commit bdda7d1). Its authors' reasons are
-//!   lost (BRIEF, 4), and no play compares it with another value unless the line says so;
-//! - judgement: set by us, compared with no other value.
+//! The documentation of a constant states what it is and its unit, its range where that is not obvious, and
+//! the reason for its value where there is one to know. A `Span` carries its unit. PAPER refers to the paper
+//! above, DESIGN to the page that adapts it, and PROTOCOL, WIRE and TERMS to the pages that specify the
+//! platform.
 //!
-//! Three quantities are the paper's: `popularity::GOLD_MEMORY_FRACTION` is its alpha,
+//! Three quantities come from the paper: `popularity::GOLD_MEMORY_FRACTION` is its alpha,
 //! `popularity::SILVER_REQUESTS` stands for its threshold T2, and `popularity::BUCKETS` with `BUCKET_LENGTH`
-//! make its moving window. None has the paper's figure. All other constants are additions of DESIGN or
-//! of this program.
+//! make its moving window. None has the figure that the paper uses. All other constants are additions of
+//! DESIGN or of this program.
 
 mod admission;
 mod candidates;
@@ -61,29 +58,19 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
 
-/// Time between two rounds of maintenance: short against any keep-alive.
-///
-/// Time, above 0. Source: inherited.
+/// Time between two rounds of maintenance, short compared with any keep-alive time.
 const MAINTENANCE_INTERVAL: Span = Span::from_millis(200);
-/// Time in which the load that workers have reported of other schedulers halves.
-///
-/// Time, above 0. Source: measured (commit e761fed; journal 20261201T155314). With one second case4356 scored
-/// lower (20261201T155339).
+/// Half-life of the load of other schedulers that workers have reported.
 const REPORT_HALF_LIFE: Span = Span::from_millis(4000);
-/// Time constant of the rate of completed work.
-///
-/// Time, above 0. Source: inherited.
+/// Time constant of the decaying average of the rate of completed work.
 const WORK_TIME_CONSTANT: Span = Span::from_millis(5000);
-/// First baseline latency of a class, as a fraction of its latency objective.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Initial baseline latency of a class, as a fraction of its latency objective.
 const INITIAL_BASELINE_FRACTION: f64 = 0.25;
-/// Backoff of a worker that failed, and of load orders for an instance whose load failed.
-///
-/// Time, above 0, and doublings. Source: inherited.
+/// Backoff of a worker that failed, and of load orders for an instance whose load failed: the initial delay
+/// and the number of doublings.
 const BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(400), 4);
 
-/// What a timer is for; of several at one time the first here comes first.
+/// The purpose of a timer. Timers that expire at the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Maintenance,
@@ -91,26 +78,26 @@
     Placement(RequestId),
 }
 
-/// The decisions of one scheduler.
+/// A state machine that makes the decisions of one scheduler.
 pub struct Policy {
     settings: Settings,
     rng: Pcg64Mcg,
     now: Time,
     timers: TimerQueue<Timer>,
-    /// The actions that the current event leads to, so far.
+    /// Actions that the current event has caused so far.
     actions: Vec<Action>,
     cluster: Cluster,
     list_lease: ListLease,
-    /// Requests that wait to renew a lease.
+    /// Requests that are held to renew a lease.
     held_requests: BTreeSet<RequestId>,
-    /// Mean fraction of the latency objective, 0 to 1, that attempts used, over all workers.
+    /// Mean fraction, 0 to 1, of the latency objective that attempts used, over all workers.
     saturation: DecayingAverage,
-    /// Fraction of the workers, 0 to 1, that are at capacity, as last measured.
+    /// Fraction, 0 to 1, of the workers that were at capacity when last measured.
     fraction_at_capacity: f64,
 }
 
 impl Policy {
-    /// A scheduler that knows nothing but its settings. The seed decides all its random draws.
+    /// Creates a policy that knows only its settings. All its random draws derive from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Policy {
         let mut policy = Policy {
             settings: settings.clone(),
@@ -128,7 +115,7 @@
         policy
     }
 
-    /// Replaces the settings. Classes keep their places; new ones come after them.
+    /// Replaces the settings. Existing classes keep their indexes; new classes come after them.
     pub fn configure(&mut self, settings: Settings) {
         let baselines = &mut self.cluster.baseline_latency;
         for class in settings.classes.iter().skip(baselines.len()) {
@@ -139,7 +126,7 @@
         self.settings = settings;
     }
 
-    /// Takes in what happened at `now` and appends what is to be done about it.
+    /// Handles an event that happened at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.timers.is_empty() {
@@ -206,7 +193,7 @@
         self.prewarm_gold();
     }
 
-    /// Drops the records that have left every window, and decays the sums.
+    /// Drops the records that are older than every window, and decays the averages.
     fn expire_old_records(&mut self) {
         let limits = &self.settings.safety_limits;
         let rate_window = limits.load_rate_limit.map_or(Span(0), |limit| limit.window);
