--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,5 @@
-//! What the end of an attempt says of its worker, of the instance there and of the load on all workers.
+//! Evaluation of finished attempts: what the outcome shows about the worker, its instance and the load on
+//! all workers.
 
 use super::admission::{CONCURRENCY_LIMIT, WORKER_SATURATION, objective_used};
 use super::{BACKOFF, Policy};
@@ -6,43 +7,27 @@
 use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, LoadMetric, Span, Time};
 use crate::stats::{RatioBounds, ThresholdBounds};
 
-/// How long a worker that rejected a request gets no other, or no load.
-///
-/// Time, above 0. Source: inherited.
+/// Time for which a worker that rejected a request is sent no other request, or no load.
 const REJECTION_PAUSE: Span = Span::from_millis(150);
-/// Attempts that are reset within this time were lost with one connection.
-///
-/// Time, above 0. Source: inherited.
+/// Time within which reset attempts are attributed to one broken connection.
 const RESET_BURST: Span = Span::from_millis(30);
-/// Broken connections in a row for which a worker is ejected.
-///
-/// Connections, from 1 up. Source: inherited.
+/// Number of consecutive broken connections after which a worker is ejected.
 const MAX_RESETS: u32 = 3;
-/// Weight of an attempt in the saturation over all workers.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Weight, 0 to 1, of an attempt in the saturation over all workers.
 const FLEET_SATURATION_WEIGHT: f64 = 0.1;
-/// Weight of a latency in its class's baseline.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Weight, 0 to 1, of a latency in the baseline of its class.
 const BASELINE_WEIGHT: f64 = 0.02;
-/// What a timeout multiplies a worker's latency ratio by.
-///
-/// Ratio, above 1. Source: inherited.
+/// Factor, above 1, by which a timeout raises the latency ratio of a worker.
 const TIMEOUT_FACTOR: f64 = 1.3;
-/// Error rate of a worker's loaded instances: when the worker is ejected, and when its failures are
-/// forgotten.
-///
-/// Fractions, 0 to 1, with the meanings of [`ThresholdBounds`]. Source: inherited.
+/// Bounds of the error rate, 0 to 1, of the loaded instances of a worker: when the worker is ejected, and
+/// when its failures are forgotten.
 const ERROR_RATE: ThresholdBounds = ThresholdBounds {
     sample_weight: 0.2,
     threshold: 0.4,
     reset_value: 0.25,
     recovery_threshold: 0.125,
 };
-/// A worker's latency as a ratio to its class's baseline.
-///
-/// Ratios, above 0, with the meanings of [`RatioBounds`]. Source: inherited.
+/// Bounds of the ratio of the latency of a worker to the baseline of the class.
 pub(super) const LATENCY_RATIO: RatioBounds = RatioBounds {
     min: 0.5,
     max: 12.0,
@@ -52,10 +37,12 @@
 };
 
 impl Worker {
-    /// Records whether a loaded instance served an attempt; a worker of which too many fail is ejected.
-    /// Without this a worker that fails at once would look idle and draw ever more requests.
+    /// Records whether a loaded instance served an attempt, and ejects a worker on which too many attempts
+    /// fail.
+    ///
+    /// Without this, a worker that fails at once would appear idle and attract more and more requests.
     fn record_error_rate(&mut self, status: AttemptStatus, attempt: &Attempt, now: Time) {
-        // Where none was expected loaded, it may be the load that failed.
+        // If no loaded instance was expected, the load may have failed rather than the instance.
         if !attempt.expected_warm {
             return;
         }
@@ -69,7 +56,7 @@
         }
     }
 
-    /// Records what a status says of the worker and of its instance, where the attempt did not succeed.
+    /// Records what the status of an unsuccessful attempt shows about the worker and its instance.
     fn record_failure(&mut self, status: AttemptStatus, attempt: &Attempt, is_silent: bool, now: Time) {
         let is_saturated = attempt.expected_warm && self.saturation.value() >= WORKER_SATURATION;
         match status {
@@ -78,19 +65,21 @@
                 self.health.ejection.extend_until(now + REJECTION_PAUSE);
                 self.concurrency_limit.decrease(now, &CONCURRENCY_LIMIT);
             }
-            // No memory for an instance, or too many loads, also where one was unloaded unnoticed.
+            // The worker lacks memory for an instance or has too many loads; the instance may have been
+            // unloaded unnoticed.
             AttemptStatus::AtCapacity => {
                 self.load_backoff_until = now + REJECTION_PAUSE;
                 self.instance_mut(attempt.function).expire();
             }
             AttemptStatus::ConnectFailed => self.eject(now),
-            // One connection may break by itself; a dead process shows at the next attempt, which is refused.
+            // A single broken connection is no evidence; if the process is dead, the next connection attempt
+            // is refused.
             AttemptStatus::Reset => {
                 if self.health.resets.record(now, RESET_BURST, MAX_RESETS) {
                     self.eject(now);
                 }
             }
-            // A machine that is cut off breaks no connection, but stays silent for the full objective.
+            // An unreachable machine does not break its connections, but is silent for the full objective.
             AttemptStatus::Timeout | AttemptStatus::Cancelled if is_silent => self.eject(now),
             AttemptStatus::Timeout => {
                 self.load.raise_latency(TIMEOUT_FACTOR, &LATENCY_RATIO);
@@ -106,7 +95,7 @@
 }
 
 impl Policy {
-    /// Records the end of an attempt at its worker and instance, and in the saturation over all workers.
+    /// Records the outcome of an attempt for its worker and instance and in the saturation over all workers.
     pub(super) fn record_outcome(&mut self, outcome: &AttemptOutcome, attempt: &Attempt) {
         let now = self.now;
         let objective = self.settings.classes[attempt.class].latency_objective;
