--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: which worker a request is sent to, by loaded instances, load and hash order.
+//! Placement: the choice of the worker for a request, by loaded instances, load and hash order.
 //!
-//! A function's primary workers are the first in its hash order that qualify: all schedulers try them first,
-//! so its requests meet its instances there.
+//! The primary workers of a function are the first eligible ones in its hash order. All schedulers try them
+//! first, so that requests for the function find its instances there.
 
 use super::candidates::{Candidate, Placement};
 use super::{Policy, Timer};
@@ -10,49 +10,37 @@
 use crate::model::{Action, OnMiss, RejectionCause, RequestId, Span, WorkerId};
 use rand_core::RngCore;
 
-/// Pause before a request that found no worker is placed again.
-///
-/// Time, above 0. Source: inherited.
+/// Delay before a request that found no worker is placed again.
 pub(super) const RETRY_DELAY: Span = Span::from_millis(40);
-/// How long a request waits for a load order before it is placed again.
-///
-/// Time, above 0. Source: inherited.
+/// Longest wait of a request for a load order before it is placed again.
 pub(super) const LOAD_ORDER_MAX_WAIT: Span = Span::from_millis(3000);
-/// Workers that a function may be loaded on which is loaded nowhere.
+/// Number of workers that a function may be loaded on if it is loaded nowhere.
 ///
-/// Workers, from 1 up. Source: DESIGN ("the less busy of the first two hash-order workers"; its own addition
-/// to PAPER).
+/// The number is from DESIGN ("the less busy of the first two hash-order workers"); PAPER has no such
+/// choice.
 const PRIMARY_WORKERS: usize = 2;
-/// Load that each queued request at an instance adds.
-///
-/// Requests, from 0 up. Source: inherited.
+/// Load, in requests, that each queued request at an instance adds.
 const QUEUED_REQUEST_WEIGHT: f64 = 2.0;
-/// Load by which the first primary worker must exceed the second for a load to go to the second.
-///
-/// Requests, from 0 up. Source: inherited. Other margins were tried and not kept (journal 20261201T155358).
+/// Load, in requests, by which the first primary worker must exceed the second for a load to go to the
+/// second.
 const SECOND_PRIMARY_MARGIN: f64 = 1.5;
-/// Load by which the best worker must exceed another for an instance to be added there.
-///
-/// Requests, from 0 up. Source: inherited. Another margin was tried and not kept (journal 20261201T155735).
+/// Load, in requests, by which the best worker must exceed another for an instance to be added on the other.
 const SCALE_OUT_MARGIN: f64 = 1.0;
-/// Wait, as a fraction of its latency objective, after which a request may start a load on a further worker.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Wait after which a request may start a load on a further worker, as a fraction (0 to 1) of its latency
+/// objective.
 const OVERFLOW_DELAY_FRACTION: f64 = 0.08;
-/// Fraction of the workers at capacity above which no request does.
-///
-/// Fraction, 0 to 1. Source: inherited.
+/// Fraction, 0 to 1, of the workers at capacity above which no request starts a load on a further worker.
 const OVERFLOW_MAX_AT_CAPACITY: f64 = 0.34;
 
 impl Policy {
-    /// Sends a request to a worker, has it wait, or ends it.
+    /// Sends a request to a worker, queues it, or ends it.
     pub(super) fn place(&mut self, id: RequestId) {
         if !self.hold_for_lease_renewal(id) {
             self.place_now(id);
         }
     }
 
-    /// Places a request that need not wait to renew a lease.
+    /// Places a request that need not be held to renew a lease.
     pub(super) fn place_now(&mut self, id: RequestId) {
         let tie_break = self.rng.next_u64();
         let request = self.cluster.request_without_attempt(id);
@@ -65,7 +53,7 @@
         let order = self.cluster.hash_order_indices(function);
         let placement = self.placement(id, &order);
         if placement.candidates.is_empty() && self.lacks_leases() {
-            // Waiting brings no lease back, and the client may retry at another scheduler.
+            // Waiting does not restore a lease, and the client may retry at another scheduler.
             self.reject_or_fail(id, RejectionCause::NoConfirmedWorker);
         } else if !placement.candidates.iter().any(|c| c.has_capacity) {
             self.queue_or_shed(id);
@@ -78,7 +66,10 @@
         }
     }
 
-    /// Sends to a loaded instance: for bronze the first in hash order, else the least loaded.
+    /// Sends a request to a loaded instance.
+    ///
+    /// A bronze function uses the first worker in hash order without queued requests, if there is one;
+    /// otherwise the least loaded worker is used.
     fn place_warm(&mut self, placement: &Placement, tie_break: u64) {
         let candidates = placement.candidates.iter();
         let open = candidates.filter(|c| c.is_presumed_warm && c.has_capacity);
@@ -95,8 +86,10 @@
         }
     }
 
-    /// All loaded instances are at capacity: the request starts a load on a further worker, which may end
-    /// sooner than the wait for an instance, or it queues here.
+    /// Starts a load on a further worker or queues the request, because all loaded instances are at
+    /// capacity.
+    ///
+    /// The load may take less time than the wait for a loaded instance.
     fn overflow_or_queue(&mut self, placement: &Placement) {
         let others = placement.candidates.iter().filter(|c| !c.is_presumed_warm);
         let primary = less_loaded_primary(others.filter(|c| c.has_capacity && c.may_start_load));
@@ -110,7 +103,9 @@
         }
     }
 
-    /// Whether a request has waited long enough to start a load elsewhere: one at a time for a function.
+    /// Returns whether a request has waited long enough to start a load elsewhere.
+    ///
+    /// Only one such load at a time is allowed for each function.
     fn may_overflow(&self, request: &Request) -> bool {
         let waited = self.now - request.received_at;
         self.settings.loading.on_miss == OnMiss::Load
@@ -119,7 +114,7 @@
             && !self.cluster.is_load_awaited(request.function, self.now)
     }
 
-    /// Orders another instance where demand asks for it and the next worker is clearly less loaded.
+    /// Orders another instance if demand requires it and the next worker is clearly less loaded.
     fn scale_out(&mut self, placement: &Placement, best: WorkerId) {
         let warm_workers = placement.candidates.iter().filter(|c| c.is_presumed_warm);
         let warm_workers = warm_workers.count();
@@ -133,7 +128,7 @@
         }
     }
 
-    /// Sends to a primary worker, where the request itself starts the load.
+    /// Sends a request to a primary worker, where the request itself starts the load.
     fn place_cold(&mut self, placement: &Placement) {
         let unqueued = placement.candidates.iter().filter(|c| c.queued_requests == 0);
         let loadable = unqueued.clone().filter(|c| c.may_start_load);
@@ -164,9 +159,10 @@
         self.schedule(LOAD_ORDER_MAX_WAIT, Timer::Placement(id));
     }
 
-    /// The worker that is ordered to load a function which is loaded nowhere.
+    /// Returns the worker that is ordered to load a function which is loaded nowhere.
     fn load_order_target(&self, placement: &Placement) -> Option<WorkerId> {
-        // Not beyond the first: orders that end for lack of memory must not walk through all workers.
+        // Bounds the search, so that load orders that fail for lack of memory do not proceed through all
+        // workers.
         let workers = placement.wanted_instances + PRIMARY_WORKERS;
         let first = placement.candidates.iter().take(workers);
         let may_load = |c: &&Candidate| {
@@ -182,7 +178,8 @@
     }
 }
 
-/// The worker for a load: the first primary, unless it is clearly more loaded than the second.
+/// Returns the worker for a load: the first primary worker, unless it is clearly more loaded than the
+/// second.
 fn less_loaded_primary<'a>(workers: impl Iterator<Item = &'a Candidate>) -> Option<WorkerId> {
     let primaries: Vec<&Candidate> = workers.take(PRIMARY_WORKERS).collect();
     let first = primaries.first()?;
