--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -1,75 +1,66 @@
 //! Popularity of functions: the gold, silver and bronze tiers, and how many instances are wanted.
 //!
-//! Tiers follow the paper. Gold functions are loaded on all workers; silver ones on as many as their requests
-//! need. Bronze ones are the rarest; their requests go to the first worker in hash order.
+//! The tiers follow the paper. Gold functions are loaded on all workers, silver ones on as many as their
+//! requests need. Bronze functions are the least requested; their requests go to the first worker in hash
+//! order.
 
 use super::Policy;
 use crate::cluster::Function;
 use crate::collections::take_fitting;
 use crate::model::{FunctionId, Span};
 
-/// Buckets of the popularity window.
+/// Number of buckets in the popularity window.
 ///
-/// Buckets, from 1 up. Source: DESIGN (a window of ten seconds, ranked anew every two; its own figures).
-/// PAPER has a moving window without a length.
+/// With [`BUCKET_LENGTH`], it makes the window of ten seconds, ranked again every two, of DESIGN. PAPER has
+/// a moving window without a length.
 const BUCKETS: usize = 5;
-/// Least length of a bucket.
-///
-/// Time, above 0. Source: DESIGN, as for [`BUCKETS`]. A bucket lasts longer here where requests are few.
+/// Minimum length of a bucket (DESIGN); a bucket lasts longer where requests are few.
 const BUCKET_LENGTH: Span = Span::from_millis(2000);
-/// Least requests in a bucket.
-///
-/// Requests, from 0 up. Source: inherited; DESIGN has no such minimum.
+/// Minimum number of requests in a bucket; DESIGN has no such minimum.
 const MIN_BUCKET_REQUESTS: u32 = 20;
-/// Fraction of one worker's memory that gold functions may fill.
+/// Fraction, 0 to 1, of the memory of one worker that gold functions may fill.
 ///
-/// Fraction, 0 to 1. The quantity is PAPER's alpha. Source: inherited; the value differs from PAPER (20% in
-/// its example, 20% and 25% in its simulations) and from DESIGN (20%), which leaves alpha open.
+/// This is the alpha of PAPER, which uses 20% in its example and 20% and 25% in its simulations. DESIGN has
+/// 20% and leaves alpha open.
 const GOLD_MEMORY_FRACTION: f64 = 0.05;
-/// Rankings in a row on the other side before a function enters or leaves gold.
+/// Number of consecutive rankings on the other side of the boundary after which a function enters or leaves
+/// gold.
 ///
-/// Rankings, from 1 up. Source: DESIGN ("entered after two top re-ranks, left after two below"; its own
-/// addition to PAPER).
+/// The number is from DESIGN ("entered after two top re-ranks, left after two below"); PAPER has no
+/// hysteresis.
 const GOLD_HYSTERESIS: u8 = 2;
-/// Time after its promotion from which a gold function is taken to be loaded on all workers.
-///
-/// Time, from 0 up. Source: inherited.
+/// Time after its promotion from which a gold function is assumed to be loaded on all workers.
 const GOLD_REPLICATION_TIME: Span = Span::from_millis(6000);
-/// Requests in the window from which a function is silver; with fewer it is bronze.
+/// Number of requests in the window from which a function is silver; with fewer, it is bronze.
 ///
-/// Requests, from 1 up. Source: DESIGN, whose cutoff replaces PAPER's threshold between silver and bronze
-/// (T2, set by beta, the utilization of the central server).
+/// This cutoff of DESIGN replaces the threshold of PAPER between silver and bronze (T2, set by beta, the
+/// utilization of the central server).
 const SILVER_REQUESTS: u32 = 2;
-/// Requests in the window that are taken for chance where a function's concurrency is estimated.
-///
-/// Requests, from 0 up. Source: inherited. With one, case4356 and case4803 scored lower and case3338 higher
-/// (journal 20261201T162543 and after).
+/// Number of requests in the window that are attributed to chance when the concurrency of a function is
+/// estimated.
 const NOISE_REQUESTS: u32 = 2;
-/// Concurrent requests that instances are wanted for, for each that is estimated, while no worker is at
-/// capacity: the surplus is for bursts.
+/// Ratio of the wanted concurrency to the estimated one while no worker is at capacity.
 ///
-/// Ratio, above 0. Source: inherited.
+/// The surplus serves bursts.
 const IDLE_BURST_FACTOR: f64 = 3.0;
-/// The same while all workers are at capacity: more instances would only evict others.
+/// Ratio of the wanted concurrency to the estimated one while all workers are at capacity.
 ///
-/// Ratio, above 0. Source: inherited.
+/// More instances would only evict others.
 const SATURATED_BURST_FACTOR: f64 = 0.7;
-/// Own requests in a keep-alive time, for each wanted instance, below which they do not show where instances
-/// are.
-///
-/// Requests, from 0 up. Source: inherited.
+/// Number of requests of this scheduler in a keep-alive time, for each wanted instance, below which they do
+/// not show where instances are loaded.
 const MIN_SAMPLES_PER_INSTANCE: f64 = 2.0;
 
 /// The instances of a function that the requests of all schedulers need.
 pub(super) struct Demand {
-    /// Instances wanted, at least one.
+    /// Number of wanted instances, at least one.
     pub(super) instances: usize,
-    /// This scheduler's own requests are too few to show where instances are.
+    /// Whether this scheduler has too few requests of its own to show where instances are loaded.
     pub(super) is_sparsely_sampled: bool,
 }
 
 impl Policy {
-    /// Ranks the functions anew once the current bucket is complete, and begins another.
+    /// Ranks the functions once the current bucket is complete, and begins the next bucket.
     pub(super) fn update_tiers(&mut self) {
         let cluster = &mut self.cluster;
         let counted: u32 = cluster.functions.values().map(|f| f.requests.current()).sum();
@@ -88,7 +79,8 @@
         self.cluster.prune(self.now, self.settings.loading.keep_alive);
     }
 
-    /// The most requested functions that fit the gold fraction of the smallest worker's memory together.
+    /// Returns the most requested functions that together fit the gold fraction of the memory of the
+    /// smallest worker.
     fn top_functions(&self) -> Vec<FunctionId> {
         let ranked = self.cluster.most_requested(SILVER_REQUESTS);
         let memory = self.settings.loading.worker_memory_mb.iter().copied();
@@ -96,19 +88,21 @@
         take_fitting(ranked, gold_memory, |id| self.cluster.functions[id].memory_mb)
     }
 
-    /// Whether a function has been gold for long enough to be loaded on all workers.
+    /// Returns whether a function has been gold for long enough to be loaded on all workers.
     pub(super) fn is_replicated_to_all(&self, function: &Function) -> bool {
         function.gold.is_on() && self.now - function.gold_changed_at > GOLD_REPLICATION_TIME
     }
 
-    /// Whether a function is rare, neither gold nor silver, by this scheduler's requests.
+    /// Returns whether a function is neither gold nor silver, by the requests of this scheduler.
     pub(super) fn is_bronze(&self, function: FunctionId) -> bool {
         let function = self.cluster.functions.get(&function);
         function.is_none_or(|f| !f.gold.is_on() && f.requests.total() < SILVER_REQUESTS)
     }
 
-    /// Estimates the instances that a function's requests need: by Little's law, the requests of all
-    /// schedulers that run at a time are their rate times their usual latency.
+    /// Estimates the instances that the requests for a function need.
+    ///
+    /// By Little's law, the number of concurrent requests of all schedulers is their rate times their usual
+    /// latency.
     pub(super) fn demand(&self, function: &Function, class: usize) -> Demand {
         let requests = function.requests.total();
         let window = self.cluster.popularity_window.window_length(self.now);
