--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -1,4 +1,4 @@
-//! Load orders: instances loaded ahead of requests, and the limits on all orders.
+//! Load orders: loading instances ahead of requests, and the limits that apply to all load orders.
 
 use super::placement::LOAD_ORDER_MAX_WAIT;
 use super::{BACKOFF, Policy};
@@ -6,20 +6,18 @@
 use crate::collections::mix64;
 use crate::model::{Action, FunctionId, LoadOutcome, LoadStatus, Span, Time, WorkerId};
 
-/// Fraction of the keep-alive time that is left when an instance is renewed: time to repeat an order that
-/// fails.
+/// Time before the end of the keep-alive time at which an instance is renewed, as a fraction (0 to 1) of the
+/// keep-alive time.
 ///
-/// Fraction, 0 to 1. Source: inherited; DESIGN asks for renewal before the keep-alive time ends, without a
-/// margin.
+/// It leaves time to repeat an order that fails. DESIGN asks for renewal before the keep-alive time ends,
+/// without a margin.
 const RENEWAL_MARGIN: f64 = 0.3;
-/// Load orders that may be under way on a worker.
+/// Number of load orders that may be in progress on a worker.
 ///
-/// Loads, from 1 up. Source: inherited; DESIGN paces "loading holds" at one for each worker and scheduler,
-/// which [`Policy::needs_prewarm`] does for the first load of a gold function.
+/// DESIGN limits "loading holds" to one for each worker and scheduler; [`Policy::needs_prewarm`] applies
+/// that to the first load of a gold function.
 const MAX_LOADS: usize = 3;
-/// The same for a load of a bronze function.
-///
-/// Loads, from 1 up. Source: inherited.
+/// Number of load orders that may be in progress on a worker when a bronze function is to be loaded.
 const MAX_BRONZE_LOADS: usize = 1;
 
 impl Policy {
@@ -34,7 +32,8 @@
         }
     }
 
-    /// Whether an instance is to be loaded or renewed, and by this scheduler of the fleet.
+    /// Returns whether an instance is to be loaded or renewed, and this scheduler of the fleet is
+    /// responsible for it.
     fn needs_prewarm(&self, worker: WorkerId, function: FunctionId) -> bool {
         let schedulers = u64::from(self.settings.scheduler_count.max(1));
         let owner = mix64(function.0.rotate_left(32) ^ worker.0) % schedulers;
@@ -44,21 +43,21 @@
         let worker = &self.cluster.workers[&worker];
         let instance = worker.instance(function);
         let margin = self.settings.loading.keep_alive.mul_f64(RENEWAL_MARGIN);
-        // The first order costs a load: one at a time for a worker and for a function overloads none.
+        // The first order starts a load; one at a time for each worker and function avoids overload.
         let is_only_load = || worker.ordered_loads(self.now) == 0 && self.pending_loads(function) == 0;
         !instance.is_loaded(self.now + margin)
             && !worker.health.ejection.is_active(self.now)
             && (instance.is_loaded(self.now) || is_only_load())
     }
 
-    /// Load orders of a function that are under way, and recent enough that a request would still wait for
-    /// them.
+    /// Returns the number of load orders in progress that are recent enough for a request to wait for them.
     pub(super) fn pending_loads(&self, function: FunctionId) -> usize {
         self.cluster
             .pending_loads(function, self.now, LOAD_ORDER_MAX_WAIT)
     }
 
-    /// Whether a load may be ordered: the worker is ready and has a slot, and the rate limit allows it.
+    /// Returns whether a load may be ordered: the worker is ready and has a free slot, and the rate limit
+    /// allows it.
     pub(super) fn may_load(&self, worker: &Worker, function: FunctionId) -> bool {
         let instance = worker.instance(function);
         let is_bronze = self.is_bronze(function);
@@ -79,7 +78,7 @@
         })
     }
 
-    /// Orders a load, if it may be ordered.
+    /// Orders a load, if that is allowed.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId) {
         let listed = self.cluster.workers.get(&worker);
         if listed.is_some_and(|listed| self.may_load(listed, function)) {
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Takes in the end of a load order, and places the requests that wait for the function.
+    /// Handles the end of a load order, and places the requests that wait for the function.
     pub(super) fn load_finished(&mut self, load: LoadOutcome) {
         if let Some(worker) = self.cluster.workers.get_mut(&load.worker) {
             worker.load_finished(&load, self.now, self.settings.loading.keep_alive);
@@ -115,7 +114,7 @@
         match load.status {
             LoadStatus::Ok => instance.confirm(now + keep_alive),
             LoadStatus::ConnectFailed => self.eject(now),
-            // Its connection broke, or it was never sent: that says nothing of the instance.
+            // The connection broke or the order was not sent, which says nothing about the instance.
             LoadStatus::Reset | LoadStatus::NotSent => {}
             _ => {
                 instance.fail_load(now, BACKOFF);
