--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their receipt to their final response: whether they may be retried, and how they end.
+//! Requests from receipt to final response: whether they may be retried, and how they end.
 
 use super::placement::RETRY_DELAY;
 use super::{Policy, Timer};
@@ -7,13 +7,11 @@
     Action, AttemptOutcome, AttemptStatus, IncomingRequest, RejectionCause, RequestId, Span, WorkerId,
 };
 
-/// How long before the deduplication window ends a retry with an idempotency key must arrive.
-///
-/// Time, above 0. Source: inherited. The window itself is WIRE, rule 2.
+/// Time before the end of the deduplication window (page WIRE, rule 2) by which a retry with an idempotency
+/// key must arrive.
 const DEDUPLICATION_MARGIN: Span = Span::from_millis(100);
-/// How long a client whose request is rejected is advised to wait before it retries.
-///
-/// Time, above 0; the site's longest wait bounds it (WIRE, `bounds.maxRetryAfterNs`). Source: inherited.
+/// Time after which the client of a rejected request is advised to retry, limited by the maximum of the site
+/// (page WIRE, `bounds.maxRetryAfterNs`).
 const RETRY_AFTER: Span = Span::from_millis(250);
 
 impl Policy {
@@ -52,7 +50,7 @@
         let request = self.cluster.requests.get_mut(&id);
         let Some(request) = request else { return };
         request.end_attempt(attempt, outcome.status);
-        // Where it failed it would most likely fail again, and at once.
+        // After any other status, another attempt on this worker would most likely fail again, and at once.
         if !matches!(
             outcome.status,
             AttemptStatus::Reset | AttemptStatus::Expired | AttemptStatus::NotSent
@@ -60,7 +58,8 @@
             request.failed_workers.push(attempt.endpoint.worker);
         }
         let first_run = request.first_run();
-        // What this process has run out of for a moment is not there at once either.
+        // Attempts were not sent because this process lacks a resource, which another attempt at once would
+        // lack too.
         let is_out_of_resources = request.consecutive_unsent() > 1;
         let is_over = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
         if outcome.status == AttemptStatus::Miss {
@@ -75,8 +74,10 @@
         }
     }
 
-    /// Orders the load of an instance that was missed, while the request tries other workers: this
-    /// scheduler's own requests are too few to show where instances are, but those of all schedulers need it.
+    /// Orders the load of an instance that was missed while the request tries other workers.
+    ///
+    /// This applies where this scheduler has too few requests of its own to show where instances are,
+    /// although the requests of all schedulers need the instance.
     fn load_missing_instance(&mut self, attempt: &Attempt) {
         let function = self.cluster.functions.get(&attempt.function);
         if function.is_some_and(|f| self.demand(f, attempt.class).is_sparsely_sampled) {
@@ -84,14 +85,14 @@
         }
     }
 
-    /// Whether the class allows another attempt after one that may have run.
+    /// Returns whether the class allows another attempt, given the first attempt that may have run.
     pub(super) fn may_retry(&self, class: usize, first_run: Option<Attempt>) -> bool {
         let idempotency = self.settings.classes[class].idempotency;
         let arrival = self.now + DEDUPLICATION_MARGIN;
         first_run.is_none_or(|first| idempotency.permits_repeat_at(arrival, first.sent_at))
     }
 
-    /// Whether the class allows an attempt on a worker, after one that may have run.
+    /// Returns whether the class allows an attempt on a worker, given the first attempt that may have run.
     pub(super) fn may_retry_on(&self, request: &Request, worker: &Worker) -> bool {
         let idempotency = self.settings.classes[request.class].idempotency;
         let permits = |first: Attempt| idempotency.permits_repeat_on(&worker.endpoint, &first.endpoint);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Cancels an attempt that nobody waits for, so that it takes no capacity from others.
+    /// Cancels the attempt in flight of a request that has ended, so that it uses no capacity.
     fn cancel_in_flight(&mut self, id: RequestId, request: &Request) {
         let may_cancel = self.settings.permissions.may_cancel;
         if let Some(attempt) = request.in_flight().filter(|_| may_cancel) {
@@ -118,14 +119,14 @@
         }
     }
 
-    /// Ends a request unserved: rejected where a retry by the client is harmless, else failed.
+    /// Ends a request unserved: rejects it if a retry by the client is harmless, and fails it otherwise.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, cause: RejectionCause) {
         let request = self.cluster.requests.remove(&id);
         let Some(request) = request else { return };
         self.cancel_in_flight(id, &request);
         let idempotency = self.settings.classes[request.class].idempotency;
         if request.never_ran() || idempotency.permits_client_retry() {
-            // The client is advised when to retry rather than kept waiting here.
+            // The client is advised when to retry instead of being kept waiting.
             let max_retry_after = self.settings.permissions.max_retry_after;
             let retry_after = max_retry_after.map_or(Span(0), |max| max.min(RETRY_AFTER));
             self.actions.push(Action::Reject {
