--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -6,7 +6,7 @@
     Action, AttemptStatus, IncomingRequest, OnMiss, RejectionCause, RequestId, Settings, Span,
 };
 
-/// The policy once held requests that no worker could serve until just before their deadline.
+/// Guards against holding a request that no worker can serve until just before its deadline.
 #[test]
 fn request_without_a_worker_is_rejected_early_with_a_retry_after() {
     let mut settings = test_settings(OnMiss::Miss);
@@ -15,7 +15,7 @@
     harness.receive(request(1, 7));
     assert!(
         rejections_and_failures(&harness.advance_ms(1000)).is_empty(),
-        "a worker may still come"
+        "a worker may still appear"
     );
     let rejection = Action::Reject {
         id: RequestId(1),
@@ -26,11 +26,12 @@
     assert_eq!(
         rejections_and_failures(&actions),
         vec![rejection],
-        "before half its time of 2500 ms"
+        "before half of its time of 2500 ms"
     );
 }
 
-/// Incidents i0164ec and i650135: queues at the workers grew until all responses came too late.
+/// Guards against queues at the workers that grow until all responses are late (incidents i0164ec and
+/// i650135).
 #[test]
 fn overload_is_shed_by_the_scheduler_and_not_queued_at_workers() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
@@ -44,10 +45,10 @@
     assert!(sent < 30, "{sent}");
     let later = harness.advance_ms(400);
     let ended_or_sent = rejections_and_failures(&later).len() + workers_sent_to(&later).len();
-    assert_eq!(ended_or_sent, 60 - sent, "the rest is rejected while it is early");
+    assert_eq!(ended_or_sent, 60 - sent, "the rest is rejected early");
 }
 
-/// Incident i16eeb2: clients whose time limit is far shorter than their class's latency objective.
+/// Clients may have a time limit far shorter than the latency objective of their class (incident i16eeb2).
 #[test]
 fn short_time_limit_of_a_client_bounds_the_wait_for_capacity() {
     for (remaining_ms, rejected) in [(300, true), (2500, false)] {
@@ -66,7 +67,8 @@
     }
 }
 
-/// Overloads of large fleets: each scheduler sends to each worker too rarely for the limit of a single worker to act.
+/// In an overloaded large fleet, each scheduler sends too few requests to each worker for the limit of a
+/// single worker to take effect.
 #[test]
 fn saturation_over_all_workers_sheds_before_anything_is_queued() {
     let settings = Settings {
