--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -4,7 +4,8 @@
 use crate::support::policy_harness::{PolicyHarness, workers_sent_to};
 use function_scheduler::{AttemptOutcome, AttemptStatus, Event, InstanceState, OnMiss, RequestId, Span};
 
-/// A failed load for lack of memory kept requests away from the worker's loaded instances and cut its limit.
+/// Guards against a side effect of a load that fails for lack of memory: requests avoid the loaded instances
+/// of the worker, and its limit is lowered.
 #[test]
 fn worker_without_memory_for_a_new_instance_still_serves_its_loaded_ones() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
@@ -33,8 +34,8 @@
     );
 }
 
-/// An instance had been evicted without notice. Its worker had no memory for another and its limit was cut to one
-/// request, though it responded quickly.
+/// Guards against a limit that drops to one request although the worker responds quickly: an instance was
+/// evicted without notice, and the worker has no memory for another.
 #[test]
 fn quick_worker_that_rejects_a_request_keeps_its_limit_and_loses_the_instance() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
@@ -43,7 +44,7 @@
     for n in 1..12 {
         if harness.receive_and_place(request(n, 7)) == [primary] {
             let next = workers_sent_to(&harness.finish_attempt(RequestId(n), 0, AttemptStatus::AtCapacity));
-            assert!(!next.contains(&primary), "not there again at once");
+            assert!(!next.contains(&primary), "no immediate retry on the same worker");
         }
         harness.finish_last_attempt(AttemptStatus::Ok);
         harness.advance_ms(200);
@@ -57,7 +58,8 @@
     );
 }
 
-/// After slow responses the mean latency stayed high and the limit was cut further, though new ones were quick.
+/// Guards against lowering the limit further while new responses are quick, because the mean latency is
+/// still high after slow ones.
 #[test]
 fn quick_responses_after_slow_ones_do_not_cut_the_limit_further() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
@@ -80,7 +82,7 @@
     );
 }
 
-/// Submits 30 requests spread over this many functions, and returns how many are sent at once.
+/// Submits 30 requests spread over this many functions, and returns how many are sent immediately.
 fn sent_of_30_requests(harness: &mut PolicyHarness, functions: u32) -> usize {
     let requests = (100..130).map(|n| request(n, u64::from(n % functions)));
     requests
@@ -88,8 +90,9 @@
         .sum()
 }
 
-/// rennes-campus, day 7 of few schedulers: requests for functions requested once waited for their loads on idle cores
-/// and filled the workers' limits; other requests were rejected after a fifth of their latency objective.
+/// Guards against limits that are filled by requests which wait for their loads on idle cores, so that other
+/// requests are rejected after a fifth of their latency objective (rennes-campus, day 7 with few
+/// schedulers).
 #[test]
 fn requests_that_wait_for_loads_leave_capacity_for_others() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
