--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -1,4 +1,4 @@
-//! Leases: until when workers are given new work while discovery does not confirm the endpoint list.
+//! Leases: until when workers are sent new work while discovery does not confirm the endpoint list.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, requested_loads, workers_sent_to};
@@ -7,10 +7,10 @@
     RejectionCause, RequestId, Settings, Span, Time, WatchStatus, WorkerId, WorkerUnavailable,
 };
 
-/// What may be used of the grace period of [`test_settings`], which is 500 ms.
+/// Usable part of the grace period of [`test_settings`], which is 500 ms.
 const USABLE_GRACE: Span = Span::from_millis(450);
 const ONE_STEP: Span = Span(1);
-/// No request waits longer to renew a lease.
+/// Upper bound of the time for which a request is held to renew a lease.
 const LONGEST_WAIT: Span = Span::from_millis(2_500);
 
 /// A worker that the configuration lists.
@@ -26,7 +26,7 @@
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![configured]);
 }
 
-/// What becomes of the watch, and when, in milliseconds.
+/// A change of the watch: its time in milliseconds and the new status.
 type Change = (u64, WatchStatus);
 
 fn settings() -> Settings {
@@ -37,7 +37,7 @@
     PolicyHarness::new(settings(), workers)
 }
 
-/// A policy whose list became stale just now.
+/// Creates a policy whose list has just become stale.
 fn harness_with_stale_list(workers: u64) -> PolicyHarness {
     let mut harness = harness(workers);
     harness.watch_changed(WatchStatus::Requested);
@@ -82,7 +82,8 @@
     }
 }
 
-/// Lets time pass until the next attempt is sent, which may wait to renew the last lease; when that is.
+/// Advances the time until the next attempt is sent, which may be held to renew the last lease, and returns
+/// that time.
 fn advance_until_sent(harness: &mut PolicyHarness, sent_before: usize) -> Time {
     let end = harness.now + LONGEST_WAIT;
     while harness.sent.len() == sent_before {
@@ -135,8 +136,8 @@
     );
 }
 
-/// Answers the attempts from the `answered`-th on, and those that follow, as workers would of which the first two are
-/// draining.
+/// Finishes the attempts from index `answered` on, and those that follow, with the responses of workers of
+/// which the first two are draining.
 fn respond_to_attempts(harness: &mut PolicyHarness, answered: &mut usize) {
     while let Some(sent) = harness.sent.get(*answered).copied() {
         *answered += 1;
@@ -178,7 +179,8 @@
     assert!(sent_late.iter().all(|sent| sent.worker.0 > 2));
 }
 
-/// A lone request waits until the lease on the list has nearly expired; a list that is confirmed makes nothing wait.
+/// A lone request is held until the lease on the list has nearly expired; with a confirmed list, no request
+/// is held.
 #[test]
 fn a_request_waits_to_renew_the_last_lease_only_while_heartbeats_are_missing() {
     let mut harness = harness(3);
@@ -213,7 +215,7 @@
     assert_eq!(harness.receive_and_place(request(1, 7)).len(), 1);
 }
 
-/// An attempt in flight that was sent in time may still bring a lease: requests wait for its response.
+/// An attempt in flight that was sent in time may still renew a lease, so requests wait for its response.
 #[test]
 fn requests_wait_for_an_attempt_that_may_bring_a_lease() {
     let mut harness = harness(1);
@@ -257,7 +259,7 @@
     }
 }
 
-/// Prewarming gives load orders without a request that could find no worker.
+/// Prewarming issues load orders without any request that could fail to find a worker.
 #[test]
 fn an_unconfirmed_worker_is_not_prewarmed() {
     for is_stale in [false, true] {
@@ -278,7 +280,7 @@
     }
 }
 
-/// Nobody publishes changes of workers that the configuration lists.
+/// Changes of workers that the configuration lists are not published.
 #[test]
 fn a_worker_of_the_configuration_needs_no_lease() {
     let mut harness = harness_with_stale_list(0);
@@ -309,7 +311,8 @@
     );
 }
 
-/// Discovery cannot say when a process has started, so another one at the address would be taken for one that is warm.
+/// Discovery cannot report the start of a process during an outage, so a new process at the same address
+/// would be taken for a warm one.
 #[test]
 fn a_worker_that_was_unreachable_in_the_outage_gets_no_lease_before_the_list_is_confirmed() {
     for status in [AttemptStatus::ConnectFailed, AttemptStatus::Error] {
