--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: workers that fail or say nothing are avoided, and their requests are placed elsewhere.
+//! Outlier detection: workers that fail or do not respond are avoided, and their requests are placed
+//! elsewhere.
 
 use crate::support::policy_fixtures::{
     IDEMPOTENT, NON_IDEMPOTENT, attempt_outcome, ready_endpoint, request, request_of_class, test_settings,
@@ -10,8 +11,8 @@
 };
 use std::collections::BTreeSet;
 
-/// Incident i650135: a single reset connection made the policy forget the worker's loaded functions, which started
-/// loads on other workers.
+/// Guards against discarding the loaded instances of a worker after a single reset connection, which starts
+/// loads on other workers (incident i650135).
 #[test]
 fn reset_connection_keeps_the_loaded_instances_but_a_refused_one_does_not() {
     for (status, stays) in [
@@ -27,7 +28,8 @@
     }
 }
 
-/// A worker that fails every request at once had the lowest load, so it was sent ever more requests.
+/// Guards against sending more and more requests to a worker that fails every request at once, because its
+/// load is the lowest.
 #[test]
 fn worker_that_fails_every_request_at_once_is_ejected() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
@@ -49,7 +51,7 @@
             sent_to = workers_sent_to(&harness.finish_attempt(RequestId(n), attempt, status));
             assert!(
                 !sent_to.contains(&faulty) || worker != faulty,
-                "no retry at once where it has just failed"
+                "no immediate retry on the worker that just failed"
             );
         }
         harness.advance_ms(10);
@@ -57,14 +59,19 @@
     assert!(attempts_at_faulty < 15, "{attempts_at_faulty} of 99");
 }
 
-/// A machine that is cut off resets no connection: its requests were lost until their deadlines.
+/// Guards against requests that are lost until their deadlines at an unreachable machine, which resets no
+/// connection.
 #[test]
 fn silent_worker_is_health_checked_and_its_requests_are_placed_elsewhere() {
     for (class, moves) in [(IDEMPOTENT, true), (NON_IDEMPOTENT, false)] {
         let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
         let primary = harness.receive_and_place(request_of_class(1, 7, class))[0];
         assert_eq!(health_check_count(&harness.advance_ms(700)), 0);
-        assert_eq!(health_check_count(&harness.advance_ms(400)), 1, "one at a time");
+        assert_eq!(
+            health_check_count(&harness.advance_ms(400)),
+            1,
+            "one health check at a time"
+        );
         let actions = harness.handle(Event::HealthCheckFinished {
             worker: primary,
             status: HealthCheckStatus::Timeout,
@@ -85,7 +92,7 @@
             assert!(next.len() == 1 && next[0] != primary, "{next:?}");
         }
         let other = harness.receive_and_place(request(2, 7))[0];
-        assert_ne!(other, primary, "nothing new goes there for now");
+        assert_ne!(other, primary, "an ejected worker gets no new request");
     }
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
     let primary = harness.receive_and_place(request(1, 7))[0];
@@ -101,12 +108,13 @@
     );
 }
 
-/// A worker of the zone that the test cuts off.
+/// Returns whether a worker is in the zone that the test makes unreachable.
 fn is_unreachable(worker: &WorkerId) -> bool {
     worker.0 % 2 == 1
 }
 
-/// Submits a request for a function of its own, answers it unless its worker is cut off, and returns the worker.
+/// Submits a request for a function of its own, serves it unless its worker is unreachable, and returns the
+/// worker.
 fn place_and_serve(harness: &mut PolicyHarness, id: u32) -> WorkerId {
     let worker = harness.receive_and_place(request(id, u64::from(id)))[0];
     if !is_unreachable(&worker) {
@@ -115,8 +123,8 @@
     worker
 }
 
-/// rennes-campus, case3338: a zone was cut off. Health checks are not allowed there and no connection was reset, so
-/// each request sent there was lost until its deadline, and later requests were still sent there.
+/// Guards against sending requests to an unreachable zone, where each is lost until its deadline. Health
+/// checks are not allowed there, and no connection is reset (rennes-campus, case3338).
 #[test]
 fn zone_that_is_silent_to_several_requests_is_ejected_and_its_requests_are_placed_elsewhere() {
     let mut settings = test_settings(OnMiss::Load);
@@ -143,7 +151,8 @@
     assert!((0..30).all(|_| !is_unreachable(&place_next(&mut harness))));
 }
 
-/// rennes-campus, case3338: an attempt that ended without a response did not count against its worker.
+/// Guards against ignoring an attempt that ends without a response: it must count against its worker
+/// (rennes-campus, case3338).
 #[test]
 fn worker_that_was_silent_for_a_requests_whole_time_is_avoided() {
     let mut settings = test_settings(OnMiss::Load);
