--- a/tests/policy/load_rate_limit.rs
+++ b/tests/policy/load_rate_limit.rs
@@ -10,14 +10,14 @@
     window: Span::from_millis(5000),
 };
 
-/// The times of all requests and of all load orders of a run.
+/// Times of all requests and of all load orders of a run.
 #[derive(Default)]
 struct Recording {
     requests: Vec<Time>,
     loads: Vec<Time>,
 }
 
-/// 200 requests, each of another function that no worker has loaded, 50 ms apart.
+/// Submits 200 requests at intervals of 50 ms, each for a different function that no worker has loaded.
 fn record_requests_that_miss(harness: &mut PolicyHarness) -> Recording {
     let mut recording = Recording::default();
     for n in 0..200 {
