--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The policy's decisions, tested through its public interface.
+//! Tests of the policy's decisions through its public interface.
 
 mod admission;
 mod concurrency_limit;
