--- a/tests/policy/outage_service.rs
+++ b/tests/policy/outage_service.rs
@@ -1,4 +1,4 @@
-//! Service through an outage of discovery in which workers drain, with random arrivals and latencies.
+//! Service during a discovery outage in which workers drain, with random arrivals and latencies.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::PolicyHarness;
@@ -15,17 +15,18 @@
 const STEP_MS: u64 = 2;
 const WARM_UP_MS: u64 = 4_000;
 const OUTAGE_MS: u64 = 12_000;
-/// The grace period of [`test_settings`].
+/// Grace period of [`test_settings`].
 const GRACE_MS: u64 = 500;
 const NOTIFIED_AFTER_MS: u64 = 4_000;
 const REJECTION_LATENCY_MS: u64 = 1;
-/// When the workers with the first ids begin to drain, counted from the beginning of the outage: the first two soon,
-/// the third when what it publishes counts as notified at once.
+/// Times at which the workers with the lowest ids begin to drain, from the beginning of the outage.
+///
+/// The first two drain early. The third drains once undelivered changes count as notified at once.
 const DRAINS_MS: [u64; 3] = [200, 300, 7_000];
-/// Requests that come shortly before the end of the simulation may have no response by then.
+/// Time after the last arrivals in which their responses may still come.
 const LAST_RESPONSES_MS: u64 = 2_500;
 
-/// An attempt that will be responded to.
+/// An attempt that will get a response.
 struct InFlight {
     ends_at: Time,
     request: RequestId,
@@ -33,7 +34,7 @@
     status: AttemptStatus,
 }
 
-/// One scheduler whose discovery goes out of reach.
+/// One scheduler whose discovery service becomes unreachable.
 struct Outage {
     harness: PolicyHarness,
     random: Pcg64Mcg,
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Runs the outage with so many requests a second; the fraction, 0 to 1, of those served that came after the list
-    /// had become stale.
+    /// Runs the outage with `rate` requests per second and returns the fraction, 0 to 1, that is served of
+    /// the requests that arrive after the list has become stale.
     fn served_fraction(mut self, rate: f64) -> f64 {
         let end = self.began_at + Span::from_millis(OUTAGE_MS);
         let stale_at = self.began_at + Span::from_millis(NOTIFIED_AFTER_MS + GRACE_MS);
@@ -81,7 +82,7 @@
         served as f64 / late_requests.len() as f64
     }
 
-    /// The time between two requests of a Poisson process.
+    /// Returns the time between two requests of a Poisson process.
     fn random_interval_ms(&mut self, rate: f64) -> f64 {
         let uniform = (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         -(1.0 - uniform).ln() / rate * 1e3
@@ -128,7 +129,7 @@
     fn begin_attempt(&mut self, id: RequestId, worker: WorkerId) {
         let now = self.harness.now;
         let sent = self.harness.sent.iter().rev().find(|sent| sent.request == id);
-        let attempt = sent.expect("it was sent").attempt;
+        let attempt = sent.expect("the attempt was sent").attempt;
         let drained_at = DRAINS_MS
             .get(worker.0 as usize - 1)
             .map(|delay| self.began_at + Span::from_millis(*delay));
@@ -158,15 +159,17 @@
     }
 }
 
-/// The mean over many outages.
+/// Returns the mean served fraction over many outages.
 fn mean_served_fraction(rate: f64, latencies_ms: &RangeInclusive<u64>) -> f64 {
     const SEEDS: u64 = 40;
     let fractions = (0..SEEDS).map(|seed| Outage::new(seed, latencies_ms.clone()).served_fraction(rate));
     fractions.sum::<f64>() / SEEDS as f64
 }
 
-/// Rates in requests a second, latencies, and the fraction, 0 to 1, that has to be served in the mean. With few
-/// requests, the one worker that still has a lease may be the one that drains late: then nothing is left.
+/// Cases: rate in requests per second, latencies, and the mean fraction, 0 to 1, that must be served.
+///
+/// At low rates, the only worker that still has a lease may be the one that drains late; then no worker is
+/// left.
 #[test]
 fn scheduler_serves_requests_through_a_discovery_outage_at_any_rate() {
     let cases = [
