--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -1,4 +1,4 @@
-//! To which worker a request goes.
+//! Placement: which worker a request is sent to.
 
 use crate::support::policy_fixtures::{attempt_outcome, ready_endpoint, request, test_settings};
 use crate::support::policy_harness::{
@@ -60,8 +60,8 @@
     assert_eq!(rejections_and_failures(&actions).len(), 1);
 }
 
-/// Overload days: requests that found their primary worker without capacity started loads on one worker after the
-/// other.
+/// Guards against requests that start loads on one worker after another in an overload, because their
+/// primary worker has no capacity.
 #[test]
 fn primary_worker_at_capacity_does_not_spread_loads_along_the_hash_order() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 8);
@@ -74,7 +74,8 @@
     assert!(used.len() <= 2, "{used:?}");
 }
 
-/// Requests waited until their deadline for the only worker with their function loaded, while others were idle.
+/// Guards against requests that wait until their deadline for the only worker with their function loaded,
+/// while other workers are idle.
 #[test]
 fn request_does_not_wait_for_a_worker_at_capacity_while_others_have_capacity() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 4);
@@ -93,8 +94,9 @@
     );
 }
 
-/// rennes-campus, case4356: each of a hundred schedulers had one request in flight at a primary worker and took it for
-/// idle. Requests for rare functions queued up there, though its load reports named ninety requests in flight.
+/// Guards against requests for rare functions queueing at a primary worker: each of a hundred schedulers has
+/// one request in flight there and considers it idle, although its load reports show ninety (rennes-campus,
+/// case4356).
 #[test]
 fn primary_worker_that_reports_many_requests_is_avoided_until_the_report_is_old() {
     let settings = Settings {
