--- a/tests/policy/prewarm.rs
+++ b/tests/policy/prewarm.rs
@@ -1,4 +1,4 @@
-//! Which functions are loaded ahead of requests, and where.
+//! Load orders: which functions are loaded ahead of requests, and where.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, RequestedLoad, requested_loads, workers_sent_to};
@@ -26,8 +26,8 @@
     assert_eq!(workers_sent_to(&after_load), first);
 }
 
-/// Answers this many requests for one function, then submits three more that stay in flight, and returns the loads
-/// that those three start.
+/// Serves this many requests for one function, then submits three more that stay in flight, and returns the
+/// loads that those three start.
 fn loads_with_all_instances_in_use(requests_before: u32) -> Vec<RequestedLoad> {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 4);
     for n in 0..requests_before {
@@ -44,7 +44,8 @@
     assert_eq!(loads_with_all_instances_in_use(80).len(), 1);
 }
 
-/// gori-jar-plant overload, idf049f: instances that the request rate did not call for evicted others.
+/// Guards against evictions for instances that the request rate does not require (gori-jar-plant overload,
+/// incident idf049f).
 #[test]
 fn instances_in_use_of_a_rare_function_start_no_load() {
     assert_eq!(loads_with_all_instances_in_use(4), vec![]);
@@ -73,7 +74,8 @@
     );
 }
 
-/// rustavi-plant rough-1 and big-2: many functions that were requested only once filled the workers' load queues.
+/// Guards against many functions with a single request each filling the load queues of the workers
+/// (rustavi-plant, rough-1 and big-2).
 #[test]
 fn loads_of_rare_functions_leave_capacity_for_popular_ones() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 2);
@@ -95,8 +97,8 @@
     );
 }
 
-/// rustavi-plant-later big-1: after a load failed for lack of memory, load orders went to one worker after the other, 8
-/// for each request.
+/// Guards against load orders proceeding from worker to worker, 8 for each request, after a load failed for
+/// lack of memory (rustavi-plant-later, big-1).
 #[test]
 fn loads_that_find_workers_at_capacity_are_not_ordered_on_the_whole_fleet() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 60);
