--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Which failed attempts are followed by another, and how a request ends that has no further attempt.
+//! Retries: which failed attempts are followed by another, and how a request without a further attempt ends.
 
 use crate::support::policy_fixtures::{KEYED, NON_IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures, workers_sent_to};
@@ -10,7 +10,7 @@
     harness.receive(request_of_class(1, 7, NON_IDEMPOTENT));
     assert!(
         rejections_and_failures(&harness.advance_ms(2480)).is_empty(),
-        "an attempt is out"
+        "an attempt is in flight"
     );
     let actions = harness.advance_ms(20);
     let failure = Action::Fail { id: RequestId(1) };
@@ -81,8 +81,9 @@
     );
 }
 
-/// rennes-campus, day 3: with nearly half of the workers cut off and some overloaded, all counted as healthy again,
-/// and a request was sent to the same unreachable worker up to five times.
+/// Guards against sending a request to the same unreachable worker up to five times: with nearly half of the
+/// workers unreachable and others overloaded, too few are healthy for ejected workers to be left out
+/// (rennes-campus, day 3).
 #[test]
 fn undeliverable_request_tries_each_worker_once_however_many_are_lost() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 5);
@@ -98,8 +99,8 @@
     );
 }
 
-/// For a moment no connection can be begun. What never left this process counts as no attempt, and is not tried again
-/// and again at once.
+/// No connection can be opened for a moment. An attempt that was not sent does not count, and is not
+/// repeated immediately without end.
 #[test]
 fn attempts_that_were_not_sent_neither_count_nor_follow_at_once() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
@@ -114,7 +115,7 @@
     }
     let attempts_in_a_row = harness.sent.len();
     assert_eq!(attempts_in_a_row, 21);
-    // Attempts that may have left this process count as before.
+    // Attempts that may have been sent count as usual.
     let mut sent = 1;
     while rejections_and_failures(&harness.finish_last_attempt(AttemptStatus::ConnectFailed)).is_empty() {
         sent += 1;
