--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Unknown, repeated and invalid events, and determinism.
+//! Robustness against unknown, repeated and invalid events, and determinism.
 
 use crate::support::policy_fixtures::{IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures};
@@ -37,7 +37,7 @@
     assert!(only_timers, "a repeated outcome changes nothing");
 }
 
-/// Returns all actions on 300 requests for seven functions, of which every fifth misses.
+/// Returns all actions for 300 requests for seven functions, of which every fifth misses.
 fn actions_of_a_run() -> Vec<Action> {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Miss), 5);
     let mut actions = vec![];
