--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of schedulers with more requests than its workers can serve, one of which starts cold.
+//! A simulated fleet of schedulers that receives more requests than its workers can serve, one of which
+//! starts cold.
 
 use crate::support::policy_fixtures::{endpoint_started_at, ready_endpoint, request, test_settings};
 use crate::support::policy_harness::PolicyHarness;
@@ -7,43 +8,43 @@
 };
 use std::collections::VecDeque;
 
-/// The worker that starts cold, in all tests of slow start.
+/// The worker that starts cold in all tests of slow start.
 pub(crate) const COLD_WORKER: WorkerId = WorkerId(1);
-/// Schedulers in the simulated fleet.
+/// Number of schedulers in the simulated fleet.
 pub(crate) const SCHEDULERS: u32 = 30;
-/// Workers in the simulated fleet.
+/// Number of workers in the simulated fleet.
 const WORKERS: u64 = 8;
-/// Requests that a warm worker serves in a second.
+/// Requests that a warm worker serves per second.
 const WORKER_RATE: f64 = 10.0;
-/// Requests that come to the fleet in a second: a third more than all workers serve.
+/// Requests that the fleet receives per second: 30% more than all workers serve.
 const REQUEST_RATE: f64 = WORKER_RATE * WORKERS as f64 * 1.3;
-/// When the cold worker starts.
+/// Time at which the cold worker starts.
 const COLD_START_MS: u64 = 6_000;
-/// How long each attempt takes.
+/// Latency of every attempt.
 const LATENCY_MS: u64 = 200;
-/// The length of a run.
+/// Duration of a run.
 const RUN_MS: u64 = 14_000;
-/// The step of the simulation, as that of the harness's clock.
+/// Time step of the simulation, equal to that of the harness's clock.
 const STEP_MS: u64 = 10;
-/// The fraction of its capacity that a worker has at its start.
+/// Fraction of its full capacity that a worker has when it starts.
 const INITIAL_CAPACITY: f64 = 0.16;
-/// How long a worker takes to come to its full capacity.
+/// Time that a worker takes to reach its full capacity.
 const WARM_UP_MS: u64 = 17_000;
-/// How many times its capacity a worker may be sent within the overload window.
+/// Multiple of its capacity that a worker may be sent within the overload window.
 const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// The span over which requests to a worker are counted.
+/// Window in which the requests to a worker are counted.
 pub(crate) const OVERLOAD_WINDOW_MS: u64 = 3_000;
 
 /// A restart of the schedulers with indexes below `count`.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Restart {
-    /// When it happens, counted from the start of the simulation.
+    /// Time since the start of the simulation.
     pub(crate) at_ms: u64,
-    /// How many schedulers restart.
+    /// Number of schedulers that restart.
     pub(crate) count: u32,
 }
 
-/// An attempt of the simulated fleet that will be responded to.
+/// An attempt in the simulated fleet that will get a response.
 struct InFlight {
     response_at_ms: u64,
     scheduler: usize,
@@ -51,7 +52,7 @@
     attempt: u16,
 }
 
-/// A linear congruential generator of numbers from 0 to 1, the same for the same seed.
+/// A linear congruential generator of numbers from 0 to 1, reproducible for a given seed.
 struct RandomNumbers {
     state: u64,
 }
@@ -72,19 +73,19 @@
     }
 }
 
-/// Many schedulers with more requests than their workers can serve.
+/// Many schedulers that receive more requests than their workers can serve.
 pub(crate) struct SimulatedFleet {
     schedulers: Vec<PolicyHarness>,
     cold: Endpoint,
     random: RandomNumbers,
     in_flight: VecDeque<InFlight>,
     last_id: u32,
-    /// When an attempt was sent to the cold worker after its start, in milliseconds.
+    /// Times at which attempts were sent to the cold worker after its start, in milliseconds.
     pub(crate) cold_sends_ms: Vec<u64>,
 }
 
 impl SimulatedFleet {
-    /// A fleet whose workers are all warm.
+    /// Creates a fleet whose workers are all warm.
     pub(crate) fn new(seed: u64) -> SimulatedFleet {
         let schedulers: Vec<PolicyHarness> = (0..SCHEDULERS)
             .map(|index| PolicyHarness::new(fleet_settings(index), WORKERS))
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Replaces schedulers by new ones with the current endpoint list; attempts of the old ones get no response.
+    /// Replaces schedulers by new ones with the current endpoint list; attempts of the old ones get no
+    /// response.
     fn restart(&mut self, restart: Restart) {
         for index in 0..restart.count {
             let scheduler = index as usize;
@@ -120,7 +122,7 @@
         endpoints
     }
 
-    /// One step of one scheduler: time passes, and a request may come.
+    /// Advances one scheduler by one step, in which a request may arrive.
     fn step_scheduler(&mut self, scheduler: usize, now_ms: u64) {
         let harness = &mut self.schedulers[scheduler];
         if now_ms == COLD_START_MS {
@@ -130,7 +132,7 @@
         harness.advance_ms(STEP_MS);
         if self.random.next() < REQUEST_RATE / f64::from(SCHEDULERS) / 100.0 {
             self.last_id += 1;
-            // A few functions draw most requests.
+            // The distribution is skewed: a few functions receive most requests.
             let function = (self.random.next() * self.random.next() * 40.0) as u64;
             harness.receive(request(self.last_id, function));
         }
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Answers all attempts that are due.
+    /// Ends all attempts that are due.
     fn respond_to_attempts(&mut self, now_ms: u64) {
         while self
             .in_flight
@@ -190,8 +192,8 @@
     settings
 }
 
-/// The most requests that may be sent to the cold worker in an overload window that begins at this time, with a
-/// tolerance for chance.
+/// Returns the largest number of requests that may be sent to the cold worker in an overload window that
+/// begins at this time, including a tolerance for random variation.
 pub(crate) fn cold_budget(window_start_ms: u64) -> f64 {
     let warmed_up = (window_start_ms - COLD_START_MS) as f64 / WARM_UP_MS as f64;
     let capacity = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * warmed_up;
