--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Workers that have just started get no more requests than they can serve while they warm up.
+//! Slow start: workers that have just started get no more requests than they can serve while they warm up.
 
 use crate::simulated_fleet::{
     COLD_WORKER, OVERLOAD_WINDOW_MS, Restart, SCHEDULERS, SimulatedFleet, cold_budget,
@@ -32,15 +32,15 @@
         harness.advance_ms(20);
         harness.finish_last_attempt(AttemptStatus::Ok);
     }
-    // Three warm workers serve 50 requests a second. The cold one may get the rate of one of them times its initial
-    // capacity (0.2) times the overload multiple (2.5), in an overload window of 2 s.
+    // Three warm workers serve 50 requests per second. The cold worker may get the rate of one of them times
+    // its initial capacity (0.2) times the overload multiple (2.5), in an overload window of 2 s.
     let window_end = cold_sends[0] + Span::from_millis(2000);
     let early = cold_sends.iter().filter(|at| **at < window_end).count();
     assert!((1..=18).contains(&early), "{early}");
 }
 
-/// Incident iffdf7b: one request was more than the share of each of 1,700 schedulers, so that the new workers of a
-/// release got no requests.
+/// Guards against new workers of a release that get no requests, because one request exceeds the budget of
+/// each scheduler in a fleet of 1,700 (incident iffdf7b).
 #[test]
 fn large_fleet_neither_starves_nor_floods_a_cold_worker() {
     let mut sent_to_cold = 0;
@@ -55,12 +55,13 @@
         let sent_to = harness.receive_and_place(request(1, u64::from(index)));
         sent_to_cold += sent_to.iter().filter(|worker| **worker == COLD_WORKER).count();
     }
-    // Without slow start a quarter of the 600 requests would go there; about a tenth of those is admitted.
+    // Without slow start, a quarter of the 600 requests goes to the cold worker; about a tenth of those is
+    // admitted.
     assert!((5..=40).contains(&sent_to_cold), "{sent_to_cold}");
 }
 
-/// rennes-campus, case4356: the new workers of a release were given half of what they could serve, and the old ones
-/// were overloaded.
+/// Guards against sending the new workers of a release half of what they can serve while the old ones are
+/// overloaded (rennes-campus, case4356).
 #[test]
 fn admission_to_a_cold_worker_follows_its_capacity() {
     for (age_ms, expected) in [(0, 0.2), (4_500, 0.4), (9_000, 0.6)] {
@@ -84,14 +85,14 @@
     }
 }
 
-/// How the cold worker leaves the endpoint list for a while.
+/// How the cold worker temporarily leaves the endpoint list.
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     /// It stays listed.
     None,
-    /// A snapshot leaves it out.
+    /// A snapshot omits it.
     OmittedFromSnapshot,
-    /// A change says that it is gone.
+    /// A delta reports it as gone.
     ReportedGone,
 }
 
@@ -109,8 +110,8 @@
     }
 }
 
-/// A stale list omits a cold worker and the next one names it again: the requests sent to it before still count.
-/// Otherwise all schedulers together would send it a second budget in the same window.
+/// A stale list omits a cold worker and the next one contains it again: the requests sent to it before still
+/// count. Otherwise all schedulers together would send it a second budget in the same window.
 #[test]
 fn cold_worker_that_leaves_the_list_for_a_while_gets_no_second_budget() {
     for departure in [
@@ -148,8 +149,8 @@
     }
 }
 
-/// The fleet is overloaded, one worker starts cold, and some or all schedulers restart just before or after that: what
-/// all of them send to the cold worker stays within its budget.
+/// In an overloaded fleet, one worker starts cold, and some or all schedulers restart around that time. The
+/// requests that all schedulers send to the cold worker must stay within its budget.
 #[test]
 fn fleet_keeps_a_cold_workers_budget_also_after_restarts() {
     let restart = |at_ms, count| Restart { at_ms, count };
@@ -177,14 +178,15 @@
         }
         assert!(
             sends.len() > 10,
-            "and it is not left idle: {} requests",
+            "the cold worker is left idle: {} requests",
             sends.len()
         );
     }
 }
 
-/// The start is a time of the worker's wall clock, which may be ahead of this machine's, or this one's may have been
-/// stepped back. A worker cannot have started after it was listed: it warms up from then on, and not an hour later.
+/// The start time may be in the future: the wall clock of the worker may be ahead, or the clock of this
+/// machine may have been stepped back. A worker cannot start after it is listed, so it must warm up from
+/// then on, not an hour later.
 #[test]
 fn worker_with_a_start_time_in_the_future_still_warms_up() {
     let hour = Span::from_millis(3_600_000);
@@ -199,7 +201,7 @@
         let future_endpoint = endpoint_started_at(COLD_WORKER.0, harness.now + hour);
         harness.update_endpoints(EndpointUpdateKind::Delta, vec![future_endpoint]);
         harness.advance_ms(20_000);
-        // Listed once more, as with any later change.
+        // Any later change lists the worker again.
         harness.update_endpoints(EndpointUpdateKind::Delta, vec![future_endpoint]);
         sent_to_it += harness.receive_and_place(request(1, u64::from(index))).len();
     }
