--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -56,7 +56,7 @@
     pub worker: WorkerId,
     /// Time since the last accepted attempt was sent, or `None` if the worker has not accepted any.
     pub accepted_ago: Option<Span>,
-    /// Number of attempts that the worker has rejected since.
+    /// Number of attempts that the worker has rejected since that attempt.
     pub rejections: u32,
 }
 
