--- a/src/cluster/tests/functions.rs
+++ b/src/cluster/tests/functions.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn absurd_figures_of_a_function_are_bounded() {
+fn invalid_values_of_a_function_are_clamped() {
     for absurd in [f64::NAN, f64::INFINITY, -3.0] {
         let mut cluster = cluster();
         let request = IncomingRequest {
