--- a/src/cluster/tests/expiry.rs
+++ b/src/cluster/tests/expiry.rs
@@ -4,7 +4,7 @@
 use crate::model::{Span, Time, WorkerId};
 
 #[test]
-fn functions_instances_and_sends_that_are_out_of_use_are_dropped() {
+fn unused_functions_instances_and_sends_are_dropped() {
     let mut cluster = cluster();
     send(&mut cluster, 1, 1, Time(20));
     for _ in 0..3 {
