--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_response_shows_a_loaded_instance_or_the_expectation_stands() {
+fn an_unknown_instance_state_falls_back_to_the_expected_one() {
     let mut cluster = cluster();
     let attempt = send(&mut cluster, 1, 1, Time(20));
     let outcome = |instance_state| AttemptOutcome {
