--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_capacity_grows_evenly_while_a_worker_warms_up() {
+fn capacity_grows_linearly_during_warm_up() {
     let limits = SafetyLimits {
         initial_capacity: 0.2,
         warm_up_duration: Span(100),
