--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn one_instance_is_asked_for() {
+fn load_one_orders_one_instance() {
     let action = Action::load_one(WorkerId(1), FunctionId(7));
     assert_eq!(
         action,
