--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_hysteresis_turns_after_steady_observations_only() {
+fn a_hysteresis_switches_after_consecutive_observations_only() {
     let mut switch = Hysteresis::default();
     assert!(!switch.observe(true, 2) && !switch.observe(false, 2) && !switch.observe(true, 2));
     assert!(!switch.is_on());
