--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_detector_trips_above_its_threshold_and_starts_again_lower() {
+fn a_detector_trips_above_its_threshold_and_resets_to_a_lower_value() {
     let bounds = ThresholdBounds {
         sample_weight: 0.5,
         threshold: 0.7,
