--- a/src/collections/hysteresis.rs
+++ b/src/collections/hysteresis.rs
@@ -13,7 +13,7 @@
         self.on
     }
 
-    /// Takes in an observation; after `needed` in a row that disagree the switch turns. Returns whether it
+    /// Takes in an observation; after `needed` in a row that disagree the switch switches. Returns whether it
     /// turned.
     pub(crate) fn observe(&mut self, observed: bool, needed: u8) -> bool {
         self.disagreements = if observed == self.on {
@@ -21,11 +21,11 @@
         } else {
             self.disagreements + 1
         };
-        let turns = self.disagreements >= needed;
-        if turns {
+        let switches = self.disagreements >= needed;
+        if switches {
             self.on = !self.on;
             self.disagreements = 0;
         }
-        turns
+        switches
     }
 }
