--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -1,12 +1,13 @@
-//! Which attempts a worker has accepted and rejected.
+//! Tracks which attempts a worker has accepted and rejected.
 
 use super::Attempt;
 use crate::model::{AttemptStatus, Time};
 
-/// No time: fleets are large, and an `Option` would take twice the memory.
+/// Marks a time that is not set. An `Option<Time>` would take twice the memory, and a scheduler tracks many
+/// workers.
 const NEVER: Time = Time(0);
 
-/// The attempts that show whether a worker takes new work.
+/// Record of the attempts that show whether a worker takes new work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Acceptance {
     last_accepted: Time,
@@ -16,13 +17,16 @@
 }
 
 impl Acceptance {
-    /// When the latest attempt was sent that the worker has accepted; none where it has not accepted any.
+    /// Returns the send time of the latest attempt that the worker accepted, or `None` if it has accepted
+    /// none.
     pub(crate) fn last_accepted(&self) -> Option<Time> {
         Some(self.last_accepted).filter(|at| *at != NEVER)
     }
 
-    /// The same, or when the latest attempt was sent that it will accept if it still takes new work: it has rejected none
-    /// since it last accepted one.
+    /// Returns the send time of the latest attempt that the worker accepted or is expected to accept.
+    ///
+    /// Attempts are expected to be accepted while the worker has rejected none since it last accepted one.
+    /// Returns `None` if there is no such attempt.
     pub(crate) fn last_expected(&self) -> Option<Time> {
         let expected = if self.rejections == 0 {
             self.last_sent
@@ -32,22 +36,23 @@
         Some(self.last_accepted.max(expected)).filter(|at| *at != NEVER)
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt was sent.
     pub(crate) fn record_sent(&mut self, now: Time) {
         self.last_sent = now;
     }
 
-    /// The worker could not be reached: what answers there next may be another process.
+    /// Records that the worker could not be reached. The process that answers there next may be a different
+    /// one.
     pub(crate) fn record_unreachable(&mut self, now: Time) {
         self.unreachable_at = now;
     }
 
-    /// Whether it could not be reached at some time since then.
+    /// Returns whether the worker was unreachable at `since` or later.
     pub(crate) fn was_unreachable_since(&self, since: Time) -> bool {
         self.unreachable_at != NEVER && self.unreachable_at >= since
     }
 
-    /// How many attempts it has rejected since it last accepted one.
+    /// Returns how many attempts the worker has rejected since it last accepted one.
     pub(crate) fn rejections(&self) -> u32 {
         self.rejections
     }
