--- a/src/cluster/endpoints.rs
+++ b/src/cluster/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: the workers that are listed, their hash orders, and their zones.
+//! The endpoint list: the listed workers, their hash orders and their zones.
 
 use super::{Attempt, Cluster, Worker};
 use crate::collections::{RendezvousNode, weighted_rendezvous_order};
@@ -6,18 +6,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Least weight of a worker in the hash order, whatever is listed.
+/// Minimum weight of a worker in the hash order; lower listed weights are clamped to it.
 ///
-/// Ratio, above 0. Source: inherited (see the constants of the policy).
+/// The rendezvous order divides by the weight, so the minimum must be above 0.
 const MIN_WEIGHT: f64 = 0.01;
-/// Greatest weight of a worker in the hash order, whatever is listed.
-///
-/// Ratio, above [`MIN_WEIGHT`]. Source: inherited.
+/// Maximum weight of a worker in the hash order; higher listed weights are clamped to it.
 const MAX_WEIGHT: f64 = 100.0;
 
 impl Cluster {
-    /// Takes in a change of the endpoint list. A worker that is gone, or that a snapshot leaves out, is
-    /// dropped; of one that has restarted nothing is known.
+    /// Applies an update of the endpoint list.
+    ///
+    /// Removes a worker that is listed as gone or that a complete list omits, and discards the recorded
+    /// state of a worker whose process has restarted.
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>, now: Time) {
         self.hash_orders.clear();
         if kind.is_complete() {
@@ -41,15 +41,17 @@
         }
     }
 
-    /// Workers in the order in which all schedulers try them for a function.
+    /// Returns the workers in the order in which every scheduler tries them for a function.
     pub(crate) fn hash_order(&mut self, function: FunctionId) -> Vec<WorkerId> {
         let indices = self.hash_order_indices(function);
         let workers: Vec<WorkerId> = self.workers.keys().copied().collect();
         indices.iter().map(|index| workers[*index]).collect()
     }
 
-    /// The same order, by the indices of the workers among [`Cluster::workers`]. Fleets are large, and each request goes
-    /// by its function's order: it is shared, and needs no look-up by id.
+    /// Returns the hash order of a function as indices into the workers in the order of their ids.
+    ///
+    /// Every request uses the order of its function, and there may be many workers. The order is therefore
+    /// cached and shared, and needs no lookup by id.
     pub(crate) fn hash_order_indices(&mut self, function: FunctionId) -> Rc<[usize]> {
         let nodes = self.workers.iter().enumerate().map(|(index, (id, worker))| {
             let weight = worker.endpoint.weight.clamp(MIN_WEIGHT, MAX_WEIGHT);
@@ -64,7 +66,7 @@
         Rc::clone(order)
     }
 
-    /// The workers of each zone.
+    /// Returns the workers of each zone.
     pub(crate) fn workers_by_zone(&self) -> BTreeMap<ZoneId, Vec<WorkerId>> {
         let mut zones = BTreeMap::<ZoneId, Vec<WorkerId>>::new();
         for (id, worker) in &self.workers {
@@ -73,7 +75,8 @@
         zones
     }
 
-    /// When any of the workers that `counts` selects last responded.
+    /// Returns the time of the latest response of any worker that `counts` selects, or `None` if it selects
+    /// none.
     pub(crate) fn last_response_at(&self, counts: impl Fn(&Worker) -> bool) -> Option<Time> {
         let workers = self.workers.values().filter(|worker| counts(worker));
         workers
@@ -81,7 +84,7 @@
             .max()
     }
 
-    /// The worker process that an attempt was sent to, while it is listed.
+    /// Returns the worker process that an attempt was sent to, or `None` if it is no longer listed.
     pub(crate) fn process_of(&mut self, attempt: &Attempt) -> Option<&mut Worker> {
         let worker = self.workers.get_mut(&attempt.endpoint.worker)?;
         Some(worker).filter(|worker| attempt.sent_at >= worker.listed_at)
