--- a/src/cluster/instance.rs
+++ b/src/cluster/instance.rs
@@ -3,11 +3,13 @@
 use crate::collections::{BackoffTimer, ExponentialBackoff};
 use crate::model::{Span, Time};
 
-/// What is known of a function's instance on a worker: whether it is loaded, cached with a time to live and with
-/// negative caching; the load order that is under way; and this scheduler's requests in flight there.
+/// State of one function's instances on one worker, as far as it is known.
+///
+/// It caches whether the function is loaded, with a time to live and with negative caching of misses, and
+/// tracks the load order in progress and this scheduler's requests in flight.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Instance {
-    /// This scheduler's requests in flight there.
+    /// Number of this scheduler's requests in flight to the instance.
     pub(crate) in_flight: u32,
     loaded_until: Time,
     missed_at: Option<Time>,
@@ -16,71 +18,73 @@
 }
 
 impl Instance {
-    /// Whether it is expected loaded.
+    /// Returns whether the instance is expected to be loaded.
     pub(crate) fn is_loaded(&self, now: Time) -> bool {
         self.loaded_until > now
     }
 
-    /// Whether requests in flight wait for its load.
+    /// Returns whether requests in flight wait for the instance to be loaded.
     pub(crate) fn is_awaited(&self, now: Time) -> bool {
         self.in_flight > 0 && !self.is_loaded(now)
     }
 
-    /// Whether it was found missing within the last `span`, and not seen loaded since.
+    /// Returns whether the instance was found missing within the last `span` and has not been seen loaded
+    /// since.
     pub(crate) fn missed_within(&self, now: Time, span: Span) -> bool {
         self.missed_at.is_some_and(|at| now - at < span)
     }
 
-    /// When its load was ordered, while that order is under way.
+    /// Returns when the load order in progress was sent, or `None` if there is none.
     pub(crate) fn ordered_at(&self) -> Option<Time> {
         self.ordered_at
     }
 
-    /// Whether no load order is under way or backed off.
+    /// Returns whether a load may be ordered: none is in progress, and no backoff is active.
     pub(crate) fn can_order_load(&self, now: Time) -> bool {
         self.ordered_at.is_none() && !self.load_backoff.is_active(now)
     }
 
-    /// Whether its state differs from that of a new one, where an idle instance stays loaded for
-    /// `keep_alive`.
+    /// Returns whether the state differs from that of a new instance.
+    ///
+    /// An idle instance stays loaded on its worker for `keep_alive`.
     pub(crate) fn is_relevant(&self, now: Time, keep_alive: Span) -> bool {
         self.in_flight > 0 || !self.can_order_load(now) || now - self.loaded_until < keep_alive
     }
 
-    /// It was seen loaded, and stays so until then.
+    /// Records that the instance was seen loaded and is expected to stay so until `loaded_until`.
     pub(crate) fn confirm(&mut self, loaded_until: Time) {
         self.loaded_until = loaded_until;
         self.missed_at = None;
         self.load_backoff.reset_failures();
     }
 
-    /// It was found missing.
+    /// Records that the instance was found missing.
     pub(crate) fn miss(&mut self, now: Time) {
         self.loaded_until = Time(0);
         self.missed_at = Some(now);
     }
 
-    /// It is expected loaded no longer.
+    /// Marks the instance as no longer expected to be loaded.
     pub(crate) fn expire(&mut self) {
         self.loaded_until = Time(0);
     }
 
-    /// Its load has been ordered.
+    /// Records that a load order was sent.
     pub(crate) fn begin_load(&mut self, now: Time) {
         self.ordered_at = Some(now);
     }
 
-    /// Its load order has ended; returns whether there was one.
+    /// Records the end of the load order and returns whether one was in progress.
     pub(crate) fn end_load(&mut self) -> bool {
         self.ordered_at.take().is_some()
     }
 
-    /// A load of it has failed: no other is ordered for a while.
+    /// Records a failed load, after which no load is ordered until the backoff has passed.
     pub(crate) fn fail_load(&mut self, now: Time, backoff: ExponentialBackoff) {
         self.load_backoff.restart(now, backoff);
     }
 
-    /// A request to it has ended.
+    /// Records the end of a request to the instance.
     pub(crate) fn end_request(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
