--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -1,10 +1,10 @@
 //! The cluster as one scheduler knows it: workers and the instances loaded there, functions, requests and
 //! attempts.
 //!
-//! This module records what has happened and answers questions about it. It takes no decision and knows no
-//! threshold of one; what to do about the cluster is up to the policy. [`Cluster`] has the records; its methods are
-//! here for functions and their loads, in `endpoints` for workers, in `traffic` for requests and attempts, and in
-//! `expiry` for what is dropped or decays.
+//! This module records events and answers queries. It makes no decisions and holds no decision thresholds;
+//! both belong to the policy. The methods of [`Cluster`] for functions and their loads are in this file,
+//! those for workers in `endpoints`, those for requests and attempts in `traffic`, and those for expiry and
+//! decay in `expiry`.
 
 mod acceptance;
 mod endpoints;
@@ -29,35 +29,37 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What one scheduler knows of the cluster.
+/// Everything that one scheduler knows about the cluster.
 #[derive(Default)]
 pub(crate) struct Cluster {
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
-    /// Work sent to each worker, in seconds. It outlives the worker's listing: a late snapshot may leave it out.
+    /// Work sent to each worker, in seconds.
+    ///
+    /// Entries outlive the listing of their worker, because an outdated snapshot may omit it.
     pub(crate) send_history: BTreeMap<WorkerId, EventLog>,
-    /// Orders of workers for functions, as computed since the endpoint list has changed: the place of each among the
-    /// workers by their ids.
+    /// Hash order of each function, cached since the last change of the endpoint list, as indices into the
+    /// workers in the order of their ids.
     hash_orders: BTreeMap<FunctionId, Rc<[usize]>>,
-    /// Whether a worker's listed weight counts in the hash orders.
+    /// Whether the listed weight of a worker affects the hash orders.
     pub(crate) hashes_by_weight: bool,
     pub(crate) functions: BTreeMap<FunctionId, Function>,
     pub(crate) popularity_window: BucketClock,
-    /// Requests that are owed their final response.
+    /// Requests that still need their final response.
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Attempts that have not ended, also those of requests that have.
+    /// Attempts that have not ended, including those of requests that have.
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
     /// Usual latency of a loaded instance in seconds, by class.
     pub(crate) baseline_latency: Vec<DecayingAverage>,
-    /// Work that all workers have done for this scheduler lately, in seconds.
+    /// Recent work done by all workers for this scheduler, in seconds.
     pub(crate) completed_work: DecayingSum,
-    /// Load orders lately.
+    /// Recent load orders.
     pub(crate) recent_loads: EventLog,
-    /// Requests that came in lately.
+    /// Recently received requests.
     pub(crate) recent_requests: EventLog,
 }
 
 impl Cluster {
-    /// Functions of the gold tier.
+    /// Returns the functions in the gold tier.
     pub(crate) fn gold_functions(&self) -> Vec<FunctionId> {
         let gold = self
             .functions
@@ -66,7 +68,8 @@
         gold.map(|(id, _)| *id).collect()
     }
 
-    /// Functions with so many requests or more in the popularity window, the most requested first.
+    /// Returns the functions with at least `min_requests` requests in the popularity window, most requested
+    /// first.
     pub(crate) fn most_requested(&self, min_requests: u32) -> Vec<FunctionId> {
         let requests = |id: &FunctionId| self.functions[id].requests.total();
         let mut ranked: Vec<FunctionId> = self.functions.keys().copied().collect();
@@ -75,7 +78,7 @@
         ranked
     }
 
-    /// Records that a load is ordered.
+    /// Records that a load order was sent.
     pub(crate) fn begin_load(&mut self, worker: WorkerId, function: FunctionId, now: Time) {
         if let Some(worker) = self.workers.get_mut(&worker) {
             worker.instance_mut(function).begin_load(now);
@@ -83,7 +86,8 @@
         self.recent_loads.record(now, 1.0);
     }
 
-    /// Load orders of a function that are under way and were given within the last `span`.
+    /// Returns the number of load orders for a function that are in progress and were sent within the last
+    /// `span`.
     pub(crate) fn pending_loads(&self, function: FunctionId, now: Time, span: Span) -> usize {
         let orders = self
             .workers
@@ -92,7 +96,7 @@
         orders.filter(|at| now - *at < span).count()
     }
 
-    /// Whether a request in flight waits for a load of a function anywhere.
+    /// Returns whether a request in flight to any worker waits for the function to be loaded.
     pub(crate) fn is_load_awaited(&self, function: FunctionId, now: Time) -> bool {
         self.workers
             .values()
