--- a/src/cluster/request.rs
+++ b/src/cluster/request.rs
@@ -5,59 +5,59 @@
     Span, Time, WorkerId,
 };
 
-/// A request that is owed its final response.
+/// A request that still needs its final response.
 pub(crate) struct Request {
-    /// The function called.
+    /// The requested function.
     pub(crate) function: FunctionId,
-    /// Place of its class in the settings.
+    /// Index of the request's class in the settings.
     pub(crate) class: usize,
-    /// When it came in.
+    /// When the request was received.
     pub(crate) received_at: Time,
-    /// The class's latency objective, or the client's own time limit where that is shorter.
+    /// The latency objective of the class, or the client's own time limit if that is shorter.
     pub(crate) latency_objective: Span,
-    /// When its client stops waiting.
+    /// When the client stops waiting.
     pub(crate) deadline: Time,
-    /// Whether it waits for a load order to end.
+    /// Whether the request waits for a load order to end.
     pub(crate) awaits_load: bool,
-    /// Workers that would most likely fail it again, and at once.
+    /// Workers that would most likely fail the request again immediately.
     pub(crate) failed_workers: Vec<WorkerId>,
-    /// Attempts begun, whether they have left this process or not.
+    /// Number of attempts begun, whether or not they have left this process.
     begun: u16,
-    /// Those that never left this process.
+    /// Number of attempts that never left this process.
     unsent: u16,
     consecutive_unsent: u16,
     in_flight: Option<u16>,
     first_run: Option<Attempt>,
 }
 
-/// Which attempt of which request.
+/// Identifier of an attempt: its request and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     /// The request.
     pub(crate) request: RequestId,
-    /// The attempt's number, from 0.
+    /// Number of the attempt within its request, from 0.
     pub(crate) number: u16,
 }
 
 /// An attempt that was sent to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Time,
-    /// The worker, as it was listed then.
+    /// Endpoint list entry of the worker when the attempt was sent.
     pub(crate) endpoint: Endpoint,
-    /// The request's function.
+    /// The function of the request.
     pub(crate) function: FunctionId,
-    /// The request's class.
+    /// Index of the request's class in the settings.
     pub(crate) class: usize,
-    /// The request's latency objective.
+    /// The latency objective of the request.
     pub(crate) latency_objective: Span,
-    /// Whether an instance was expected loaded there.
+    /// Whether an instance was expected to be loaded on the worker.
     pub(crate) expected_warm: bool,
 }
 
 impl AttemptId {
-    /// The action that cancels the attempt.
+    /// Returns the action that cancels the attempt.
     pub(crate) fn cancel(self) -> Action {
         Action::Cancel {
             id: self.request,
@@ -67,7 +67,7 @@
 }
 
 impl Attempt {
-    /// Whether an instance served it that had been loaded before, as far as is known.
+    /// Returns whether an already loaded instance served the attempt, as far as is known.
     pub(crate) fn found_loaded(&self, outcome: &AttemptOutcome) -> bool {
         match outcome.instance_state {
             InstanceState::Loaded => true,
@@ -78,7 +78,7 @@
 }
 
 impl Request {
-    /// A request that has just come in.
+    /// Creates the record of a request that was just received.
     pub(crate) fn new(incoming: &IncomingRequest, latency_objective: Span, now: Time) -> Request {
         Request {
             function: incoming.function,
@@ -96,32 +96,32 @@
         }
     }
 
-    /// How many attempts have left this process, or may still do so.
+    /// Returns how many attempts have left this process or may still do so.
     pub(crate) fn attempts(&self) -> u16 {
         self.begun - self.unsent
     }
 
-    /// Attempts in a row, the last one among them, that never left this process.
+    /// Returns how many attempts in a row, up to the latest one, never left this process.
     pub(crate) fn consecutive_unsent(&self) -> u16 {
         self.consecutive_unsent
     }
 
-    /// The number of the attempt in flight.
+    /// Returns the number of the attempt in flight.
     pub(crate) fn in_flight(&self) -> Option<u16> {
         self.in_flight
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub(crate) fn first_run(&self) -> Option<Attempt> {
         self.first_run
     }
 
-    /// Whether no attempt can have run.
+    /// Returns whether the request cannot have run in any attempt.
     pub(crate) fn never_ran(&self) -> bool {
         self.first_run.is_none() && self.in_flight.is_none()
     }
 
-    /// Another attempt is sent; returns its number.
+    /// Records that another attempt is sent and returns its number.
     pub(crate) fn begin_attempt(&mut self) -> u16 {
         let number = self.begun;
         self.begun += 1;
@@ -129,7 +129,7 @@
         number
     }
 
-    /// An attempt has ended that did not serve the request.
+    /// Records the end of an attempt that did not serve the request.
     pub(crate) fn end_attempt(&mut self, attempt: Attempt, status: AttemptStatus) {
         self.in_flight = None;
         if !status.never_ran() {
