--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -1,10 +1,10 @@
-//! The traffic: requests that are received, and attempts that are sent and end.
+//! Requests that are received, and attempts that are sent and end.
 
 use super::{Attempt, AttemptId, Cluster, Request};
 use crate::model::{FunctionId, IncomingRequest, RequestId, Span, Time, WorkerId};
 
 impl Cluster {
-    /// Takes in a request, and counts it for its function.
+    /// Adds a request and counts it for its function.
     pub(crate) fn add_request(&mut self, incoming: &IncomingRequest, latency_objective: Span, now: Time) {
         self.functions
             .entry(incoming.function)
@@ -14,25 +14,25 @@
             .insert(incoming.id, Request::new(incoming, latency_objective, now));
     }
 
-    /// A request without an attempt in flight.
+    /// Returns a request if it has no attempt in flight.
     pub(crate) fn request_without_attempt(&mut self, id: RequestId) -> Option<&mut Request> {
         self.requests
             .get_mut(&id)
             .filter(|request| request.in_flight().is_none())
     }
 
-    /// Requests of a function that wait for a load order to end.
+    /// Returns the requests of a function that wait for a load order to end.
     pub(crate) fn requests_awaiting(&self, function: FunctionId) -> Vec<RequestId> {
         let requests = self.requests.iter();
         let awaiting = requests.filter(|(_, request)| request.awaits_load && request.function == function);
         awaiting.map(|(id, _)| *id).collect()
     }
 
-    /// Records that an attempt of a request is sent to a worker; returns the time left for it.
+    /// Records that an attempt is sent to a worker and returns the time left until the request's deadline.
     ///
     /// # Panics
     ///
-    /// If the request or the worker is not known.
+    /// Panics if the request or the worker is unknown.
     pub(crate) fn begin_attempt(
         &mut self,
         id: RequestId,
@@ -63,17 +63,17 @@
         request.deadline - now
     }
 
-    /// Takes out an attempt that has ended.
+    /// Removes an attempt that has ended and returns it.
     pub(crate) fn end_attempt(&mut self, request: RequestId, number: u16) -> Option<Attempt> {
         self.attempts.remove(&AttemptId { request, number })
     }
 
-    /// All attempts that have not ended.
+    /// Returns all attempts that have not ended.
     pub(crate) fn attempts_in_flight(&self) -> Vec<Attempt> {
         self.attempts.values().copied().collect()
     }
 
-    /// The attempts on a worker that requests wait for.
+    /// Returns the attempts on a worker that requests still wait for.
     pub(crate) fn attempts_on(&self, worker: WorkerId) -> Vec<(AttemptId, Attempt)> {
         let there = self
             .attempts
