--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -7,44 +7,44 @@
 use crate::stats::{DecayingAverage, LoadEstimate, ThresholdDetector};
 use std::collections::BTreeMap;
 
-/// What is known of a worker process.
+/// State of a worker process, as far as it is known.
 #[derive(Default)]
 pub(crate) struct Worker {
-    /// The worker as it is listed.
+    /// Endpoint list entry of the worker.
     pub(crate) endpoint: Endpoint,
     /// When this process was first listed.
     pub(crate) listed_at: Time,
-    /// Its instances.
+    /// Instances on the worker, by function.
     pub(crate) instances: BTreeMap<FunctionId, Instance>,
-    /// How loaded it is.
+    /// Estimated load of the worker.
     pub(crate) load: LoadEstimate,
-    /// No request starts a load there before this time.
+    /// Time before which no request starts a load on the worker.
     pub(crate) load_backoff_until: Time,
-    /// Most requests of this scheduler in flight there.
+    /// Limit on this scheduler's requests in flight to the worker.
     pub(crate) concurrency_limit: AimdLimit,
-    /// Mean fraction of the latency objective, 0 to 1, that requests used there.
+    /// Average fraction of the latency objective, 0 to 1, that requests to the worker used.
     pub(crate) saturation: DecayingAverage,
-    /// Its health.
+    /// Health of the worker.
     pub(crate) health: Health,
-    /// Whether it takes new work, by the attempts sent there.
+    /// Whether the worker takes new work, judged by the attempts sent to it.
     pub(crate) acceptance: Acceptance,
 }
 
-/// The health of a worker.
+/// Health of a worker.
 #[derive(Default)]
 pub(crate) struct Health {
-    /// When it last responded, and its health checks.
+    /// Time of the latest response, and the health checks.
     pub(crate) liveness: Liveness,
-    /// Until when it gets no requests, if others do.
+    /// Time until which the worker gets no requests if other workers can take them.
     pub(crate) ejection: BackoffTimer,
-    /// Fraction, 0 to 1, of the attempts at loaded instances that failed.
+    /// Fraction of attempts at loaded instances that failed, 0 to 1.
     pub(crate) error_rate: ThresholdDetector,
-    /// Connections that broke in a row.
+    /// Consecutive broken connections.
     pub(crate) resets: BurstCounter,
 }
 
 impl Worker {
-    /// A process of which nothing is known yet.
+    /// Creates the record of a process about which nothing is known yet.
     pub(crate) fn new(endpoint: Endpoint, listed_at: Time) -> Worker {
         Worker {
             endpoint,
@@ -53,25 +53,27 @@
         }
     }
 
-    /// When its process started, if it is listed as started lately. The listed time is one of another machine's wall
-    /// clock, which may be ahead of this one's: no process has started after it was listed.
+    /// Returns when the process started, or `None` if it is not listed as recently started.
+    ///
+    /// The listed time comes from the wall clock of another machine, which may be ahead of the local one.
+    /// It is capped at the time of listing, because no process starts after it is listed.
     pub(crate) fn started_at(&self) -> Option<Time> {
         self.endpoint
             .started_at
             .map(|started_at| started_at.min(self.listed_at))
     }
 
-    /// What is known of an instance; the default where nothing is.
+    /// Returns a copy of what is known about an instance, or the default if nothing is.
     pub(crate) fn instance(&self, function: FunctionId) -> Instance {
         self.instances.get(&function).copied().unwrap_or_default()
     }
 
-    /// An instance, to be changed.
+    /// Returns the record of an instance, creating it if there is none.
     pub(crate) fn instance_mut(&mut self, function: FunctionId) -> &mut Instance {
         self.instances.entry(function).or_default()
     }
 
-    /// Load orders that are under way for instances not expected loaded.
+    /// Returns the number of load orders in progress for instances that are not expected to be loaded.
     pub(crate) fn ordered_loads(&self, now: Time) -> usize {
         let ordered = self
             .instances
@@ -80,7 +82,7 @@
         ordered.filter(|instance| !instance.is_loaded(now)).count()
     }
 
-    /// Instances whose loads requests in flight wait for.
+    /// Returns the number of instances whose load requests in flight wait for.
     pub(crate) fn awaited_loads(&self, now: Time) -> usize {
         self.instances
             .values()
@@ -88,13 +90,15 @@
             .count()
     }
 
-    /// Nothing is expected loaded there any longer.
+    /// Marks all instances as no longer expected to be loaded.
     pub(crate) fn expire_instances(&mut self) {
         self.instances.values_mut().for_each(Instance::expire);
     }
 
-    /// Records the end of an attempt there, and the requests in flight that its load report gives, if any.
-    /// Returns whether the worker has been silent since the attempt was sent, up to this end.
+    /// Records the end of an attempt and, if its load report gives it, the number of requests in flight to
+    /// the worker.
+    ///
+    /// Returns whether the worker had not responded between the sending of the attempt and its end.
     pub(crate) fn end_attempt(
         &mut self,
         attempt: &Attempt,
