--- a/src/collections/aimd.rs
+++ b/src/collections/aimd.rs
@@ -1,41 +1,41 @@
-//! Additive increase and multiplicative decrease.
+//! Limits with additive increase and multiplicative decrease (AIMD).
 
 use crate::model::{Span, Time};
 
-/// The bounds and steps of an [`AimdLimit`], in the unit of the limit where nothing else is said.
+/// The bounds and steps of an [`AimdLimit`], in the unit of the limit unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AimdBounds {
-    /// The limit at first.
+    /// Initial limit.
     pub(crate) initial: f64,
-    /// Least limit.
+    /// Minimum limit.
     pub(crate) min: f64,
-    /// Greatest limit.
+    /// Maximum limit.
     pub(crate) max: f64,
-    /// What an increase adds.
+    /// Amount that an increase adds.
     pub(crate) increment: f64,
-    /// What a decrease multiplies by: a fraction, 0 to 1.
+    /// Factor, 0 to 1, that a decrease multiplies the limit by.
     pub(crate) decrease_factor: f64,
-    /// Least time between two decreases.
+    /// Minimum time between two decreases.
     pub(crate) decrease_interval: Span,
-    /// The limit increases only where less than this is left of it.
+    /// Unused part of the limit up to which the limit may increase.
     pub(crate) headroom: f64,
 }
 
-/// A limit that increases by addition and decreases by multiplication.
+/// A limit that increases additively and decreases multiplicatively.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AimdLimit {
-    /// The limit once it has changed.
+    /// The limit after its first change; `None` before it.
     adapted: Option<f64>,
     decreased_at: Time,
 }
 
 impl AimdLimit {
-    /// The limit.
+    /// Returns the current limit.
     pub(crate) fn value(&self, bounds: &AimdBounds) -> f64 {
         self.adapted.unwrap_or(bounds.initial)
     }
 
-    /// Increases the limit, up to its greatest value, if so much of it is used that it may matter.
+    /// Increases the limit, up to its maximum, if the unused part is at most the headroom.
     pub(crate) fn increase(&mut self, used: u32, bounds: &AimdBounds) {
         let limit = self.value(bounds);
         if f64::from(used) + bounds.headroom >= limit {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Decreases the limit, down to its least value, unless the last decrease is too recent.
+    /// Decreases the limit, down to its minimum, unless the last decrease is too recent.
     pub(crate) fn decrease(&mut self, now: Time, bounds: &AimdBounds) {
         if now - self.decreased_at > bounds.decrease_interval {
             self.adapted = Some((self.value(bounds) * bounds.decrease_factor).max(bounds.min));
