--- a/src/collections/backoff.rs
+++ b/src/collections/backoff.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Span, Time};
 
-/// A delay that doubles with each failure in a row, up to a limit.
+/// A delay that doubles with each consecutive failure, up to a maximum.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExponentialBackoff {
     initial: Span,
@@ -10,7 +10,7 @@
 }
 
 impl ExponentialBackoff {
-    /// A backoff that starts at `initial` and doubles at most `max_doublings` times.
+    /// Creates a backoff that starts at `initial` and doubles at most `max_doublings` times.
     pub(crate) const fn new(initial: Span, max_doublings: u32) -> ExponentialBackoff {
         ExponentialBackoff {
             initial,
@@ -18,13 +18,14 @@
         }
     }
 
-    /// The delay after so many earlier failures in a row; the initial one where there were none.
+    /// Returns the delay after `earlier_failures` consecutive failures; without any, it is the initial
+    /// delay.
     pub(crate) fn delay(self, earlier_failures: u32) -> Span {
         Span(self.initial.0 << earlier_failures.min(self.max_doublings))
     }
 }
 
-/// The failures in a row of one target, and until when it backs off.
+/// The backoff state of one target: its consecutive failures and the end of the current backoff.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BackoffTimer {
     failures: u32,
@@ -32,41 +33,41 @@
 }
 
 impl BackoffTimer {
-    /// Whether the target still backs off.
+    /// Returns whether the target is still backing off.
     pub(crate) fn is_active(&self, now: Time) -> bool {
         self.until > now
     }
 
-    /// Failures since the last reset.
+    /// Returns the number of failures since the last reset.
     pub(crate) fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Records a failure, unless the target still backs off.
+    /// Records a failure, unless the target is still backing off.
     pub(crate) fn begin(&mut self, now: Time, backoff: ExponentialBackoff) {
         if !self.is_active(now) {
             self.restart(now, backoff);
         }
     }
 
-    /// Records a failure; the wait starts anew, and may so end earlier than the one before.
+    /// Records a failure and restarts the backoff, which may then end earlier than before.
     pub(crate) fn restart(&mut self, now: Time, backoff: ExponentialBackoff) {
         self.until = now + backoff.delay(self.failures);
         self.failures += 1;
     }
 
-    /// Records a failure; a wait under way that would end later is kept.
+    /// Records a failure and extends the backoff; one that would end later is kept.
     pub(crate) fn extend(&mut self, now: Time, backoff: ExponentialBackoff) {
         self.extend_until(now + backoff.delay(self.failures));
         self.failures += 1;
     }
 
-    /// Waits at least until `until`, with no failure counted.
+    /// Extends the backoff to at least `until` without counting a failure.
     pub(crate) fn extend_until(&mut self, until: Time) {
         self.until = self.until.max(until);
     }
 
-    /// Resets the count of failures; a wait under way is kept.
+    /// Resets the failure count; the current backoff continues.
     pub(crate) fn reset_failures(&mut self) {
         self.failures = 0;
     }
