--- a/src/collections/burst_counter.rs
+++ b/src/collections/burst_counter.rs
@@ -1,8 +1,8 @@
-//! Events in a row, where a burst counts once.
+//! A counter of events that counts each burst once.
 
 use crate::model::{Span, Time};
 
-/// Counts events in a row; those that follow a counted one closely are part of it.
+/// Counts events; those that closely follow a counted event belong to its burst and are not counted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct BurstCounter {
     counted_at: Time,
@@ -10,8 +10,9 @@
 }
 
 impl BurstCounter {
-    /// Records an event, and counts it unless it comes within `burst` of the last counted one. Returns whether
-    /// the count has reached `limit`; it then starts from zero.
+    /// Records an event and counts it unless it comes within `burst` of the last counted one.
+    ///
+    /// Returns whether the count has reached `limit`; it then starts again from zero.
     pub(crate) fn record(&mut self, now: Time, burst: Span, limit: u32) -> bool {
         if now - self.counted_at > burst {
             self.counted_at = now;
@@ -24,7 +25,7 @@
         is_reached
     }
 
-    /// Starts counting from zero; the time of the last counted event stays.
+    /// Resets the count to zero; the time of the last counted event is kept.
     pub(crate) fn reset(&mut self) {
         self.count = 0;
     }
