--- a/src/collections/event_log.rs
+++ b/src/collections/event_log.rs
@@ -1,4 +1,4 @@
-//! A log of weighted events in time.
+//! A log of timestamped, weighted events.
 
 use crate::model::Time;
 use std::collections::VecDeque;
@@ -26,17 +26,17 @@
         self.events.retain(|event| event.at >= since);
     }
 
-    /// How many events came at `since` or later.
+    /// Returns the number of events at `since` or later.
     pub(crate) fn count_since(&self, since: Time) -> usize {
         self.events.iter().filter(|event| event.at >= since).count()
     }
 
-    /// How many events came later than `since`.
+    /// Returns the number of events later than `since`.
     pub(crate) fn count_after(&self, since: Time) -> usize {
         self.events.iter().filter(|event| event.at > since).count()
     }
 
-    /// The sum of the weights of the events at `since` or later, added oldest first.
+    /// Returns the sum of the weights of the events at `since` or later, added oldest first.
     pub(crate) fn weight_since(&self, since: Time) -> f64 {
         self.events
             .iter()
@@ -45,7 +45,7 @@
             .sum()
     }
 
-    /// When the last event came.
+    /// Returns the time of the last event.
     pub(crate) fn last(&self) -> Option<Time> {
         self.events.back().map(|event| event.at)
     }
