--- a/src/collections/hysteresis.rs
+++ b/src/collections/hysteresis.rs
@@ -1,6 +1,6 @@
-//! A switch that follows its input only once the input has been steady.
+//! A switch with hysteresis: it changes only after several consecutive observations that differ from it.
 
-/// A switch, off at first, with the observations in a row that disagreed with it.
+/// A switch, initially off, with the number of consecutive observations that differed from it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Hysteresis {
     on: bool,
@@ -8,13 +8,14 @@
 }
 
 impl Hysteresis {
-    /// Whether it is on.
+    /// Returns whether the switch is on.
     pub(crate) fn is_on(&self) -> bool {
         self.on
     }
 
-    /// Takes in an observation; after `needed` in a row that disagree the switch switches. Returns whether it
-    /// turned.
+    /// Records an observation and returns whether the switch changed.
+    ///
+    /// The switch changes after `needed` consecutive observations that differ from its state.
     pub(crate) fn observe(&mut self, observed: bool, needed: u8) -> bool {
         self.disagreements = if observed == self.on {
             0
