--- a/src/collections/liveness.rs
+++ b/src/collections/liveness.rs
@@ -1,8 +1,8 @@
-//! When a peer last responded, and the health checks that it left unanswered.
+//! Liveness of a peer: its latest response and its unanswered health checks.
 
 use crate::model::Time;
 
-/// When a peer last responded, and how many health checks in a row it left unanswered.
+/// The time of a peer's latest response and the number of consecutive health checks that it did not answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Liveness {
     last_response_at: Time,
@@ -11,23 +11,23 @@
 }
 
 impl Liveness {
-    /// When the peer last responded.
+    /// Returns the time of the latest response.
     pub(crate) fn last_response_at(&self) -> Time {
         self.last_response_at
     }
 
-    /// The peer has responded: earlier unanswered checks count no more.
+    /// Records a response of the peer and resets the count of unanswered checks.
     pub(crate) fn record_response(&mut self, now: Time) {
         self.last_response_at = now;
         self.unanswered_checks = 0;
     }
 
-    /// A check begins; returns whether it may, as none is under way.
+    /// Begins a check and returns true, or returns false if a check is already in progress.
     pub(crate) fn begin_check(&mut self) -> bool {
         !std::mem::replace(&mut self.check_pending, true)
     }
 
-    /// The check has ended; returns how many in a row have not been answered.
+    /// Records the end of a check and returns the number of consecutive unanswered checks.
     pub(crate) fn end_check(&mut self, is_answered: bool, now: Time) -> u32 {
         self.check_pending = false;
         self.unanswered_checks += 1;
