--- a/src/collections/mod.rs
+++ b/src/collections/mod.rs
@@ -1,4 +1,4 @@
-//! Small generic data structures without decisions of their own.
+//! Small generic data structures that make no decisions of their own.
 
 mod aimd;
 mod backoff;
