--- a/src/collections/rendezvous.rs
+++ b/src/collections/rendezvous.rs
@@ -1,9 +1,10 @@
 //! Weighted rendezvous (highest random weight) hashing.
 
-/// Number of random bits that fit a double's mantissa, as a count of distinct values.
+/// Number of distinct values that a hash is reduced to: those that fit the mantissa of an `f64` exactly.
 const UNIT_STEPS: f64 = (1u64 << 53) as f64;
 
-/// The 64-bit finalizer of SplitMix64: equal inputs give equal hashes in every process.
+/// Returns the output of the 64-bit finalizer of SplitMix64. Equal inputs give equal hashes in every
+/// process.
 pub(crate) fn mix64(mut value: u64) -> u64 {
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -13,16 +14,18 @@
 /// A node to be ordered.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RendezvousNode<N> {
-    /// What stands for the node in the order.
+    /// Value that represents the node in the order.
     pub(crate) node: N,
-    /// The same for the node in all processes.
+    /// Hash input of the node, the same in all processes.
     pub(crate) hash_input: u64,
-    /// Its weight, above 0, in relation to the other nodes.
+    /// Weight of the node, above 0, relative to the other nodes.
     pub(crate) weight: f64,
 }
 
-/// Orders nodes for a key. All processes that know the same nodes compute the same order, and a node of twice
-/// the weight comes first for twice as many keys. Ties are broken by the node itself.
+/// Returns the nodes in the order of their rendezvous scores for a key.
+///
+/// All processes that know the same nodes compute the same order. A node of twice the weight comes first
+/// for twice as many keys. Ties are broken by the order of the node values.
 pub(crate) fn weighted_rendezvous_order<N: Ord + Copy>(
     key: u64,
     nodes: impl Iterator<Item = RendezvousNode<N>>,
