--- a/src/collections/selection.rs
+++ b/src/collections/selection.rs
@@ -2,7 +2,8 @@
 
 use super::mix64;
 
-/// The items that pass, if they are at least `min_fraction`, 0 to 1, of all; else all.
+/// Returns the items that pass if they are at least `min_fraction`, 0 to 1, of all items; otherwise all
+/// items.
 pub(crate) fn retain_unless_few<T>(
     mut items: Vec<T>,
     min_fraction: f64,
@@ -15,7 +16,7 @@
     items
 }
 
-/// The longest prefix of the items whose sizes together fit a capacity, in the order given.
+/// Returns the longest prefix of the items whose sizes together fit `capacity`.
 pub(crate) fn take_fitting<T>(items: Vec<T>, capacity: f64, size: impl Fn(&T) -> f64) -> Vec<T> {
     let mut remaining = capacity;
     let mut fits = |item: &T| {
@@ -25,8 +26,9 @@
     items.into_iter().take_while(|item| fits(item)).collect()
 }
 
-/// The item of the least cost. Ties are broken by a hash of `salt` and the items' ids, so randomly for a
-/// random salt.
+/// Returns the item of the lowest cost.
+///
+/// Ties are broken by a hash of `salt` and the item ids, and so at random if the salt is random.
 pub(crate) fn least_by_cost<T>(
     items: impl Iterator<Item = T>,
     salt: u64,
