--- a/src/collections/sliding_window.rs
+++ b/src/collections/sliding_window.rs
@@ -3,10 +3,10 @@
 use crate::model::{Span, Time};
 use std::collections::VecDeque;
 
-/// A count over a window of buckets; whoever owns it says when a bucket ends.
+/// A count over a window of buckets. Its owner decides when a bucket ends.
 #[derive(Clone, Debug)]
 pub(crate) struct SlidingWindowCounter {
-    /// Counts by bucket, the current one first; buckets before the first are empty.
+    /// Counts by bucket, the current one first; older buckets that are not stored are empty.
     counts: VecDeque<u32>,
 }
 
@@ -19,32 +19,33 @@
 }
 
 impl SlidingWindowCounter {
-    /// Counts one more in the current bucket.
+    /// Increments the count of the current bucket.
     pub(crate) fn increment(&mut self) {
         self.counts[0] += 1;
     }
 
-    /// The count of the current bucket.
+    /// Returns the count of the current bucket.
     pub(crate) fn current(&self) -> u32 {
         self.counts[0]
     }
 
-    /// The count of the window.
+    /// Returns the count of the whole window.
     pub(crate) fn total(&self) -> u32 {
         self.counts.iter().sum()
     }
 
-    /// Begins a bucket; of a window of so many, the oldest one leaves.
+    /// Begins a bucket; beyond `buckets` buckets, the oldest one leaves the window.
     pub(crate) fn advance(&mut self, buckets: usize) {
         self.counts.push_front(0);
         self.counts.truncate(buckets);
     }
 }
 
-/// When the buckets of a sliding window began; they end when their owner says so.
+/// The start times of the buckets of a sliding window. Its owner decides when a bucket ends.
 #[derive(Clone, Debug)]
 pub(crate) struct BucketClock {
-    /// Starts of the buckets, the current one first; those before the first are taken to have begun with it.
+    /// Start times of the buckets, the current one first; older buckets count as begun together with the
+    /// oldest stored one.
     starts: VecDeque<Time>,
 }
 
@@ -55,25 +56,25 @@
 }
 
 impl BucketClock {
-    /// A window whose first bucket begins now.
+    /// Creates a window whose first bucket begins at `now`.
     pub(crate) fn new(now: Time) -> BucketClock {
         BucketClock {
             starts: VecDeque::from([now]),
         }
     }
 
-    /// Begins a bucket; of a window of so many, the oldest one leaves.
+    /// Begins a bucket at `now`; beyond `buckets` buckets, the oldest one leaves the window.
     pub(crate) fn advance(&mut self, now: Time, buckets: usize) {
         self.starts.push_front(now);
         self.starts.truncate(buckets);
     }
 
-    /// The length so far of the current bucket.
+    /// Returns the time since the current bucket began.
     pub(crate) fn bucket_length(&self, now: Time) -> Span {
         now - self.starts[0]
     }
 
-    /// The length so far of the window.
+    /// Returns the time since the oldest bucket began.
     pub(crate) fn window_length(&self, now: Time) -> Span {
         now - self.starts[self.starts.len() - 1]
     }
