--- a/src/collections/timer_queue.rs
+++ b/src/collections/timer_queue.rs
@@ -1,12 +1,12 @@
-//! Timers in the order of their expiry.
+//! A queue of timers ordered by expiry.
 
 use crate::model::{Span, Time};
 use std::collections::BTreeSet;
 
 /// A queue of timers.
 ///
-/// Its owner either waits for [`TimerQueue::next_expiry`] itself, or asks somebody else for wake-ups, one at a time,
-/// with [`TimerQueue::next_wake_up`].
+/// Its owner either waits until [`TimerQueue::next_expiry`] itself, or requests one wake-up at a time
+/// through [`TimerQueue::next_wake_up`].
 #[derive(Clone, Debug)]
 pub(crate) struct TimerQueue<T> {
     timers: BTreeSet<(Time, T)>,
@@ -23,22 +23,22 @@
 }
 
 impl<T: Ord + Copy> TimerQueue<T> {
-    /// Whether there is no timer.
+    /// Returns whether there are no timers.
     pub(crate) fn is_empty(&self) -> bool {
         self.timers.is_empty()
     }
 
-    /// Schedules a timer. The same timer scheduled twice for the same time fires once.
+    /// Schedules a timer. Scheduling the same timer twice for the same time makes it fire once.
     pub(crate) fn schedule(&mut self, expires_at: Time, timer: T) {
         self.timers.insert((expires_at, timer));
     }
 
-    /// Removes a timer that was scheduled for this time.
+    /// Removes a timer that was scheduled for `expires_at`.
     pub(crate) fn cancel(&mut self, expires_at: Time, timer: T) {
         self.timers.remove(&(expires_at, timer));
     }
 
-    /// Moves a timer from one time to another; either is none where the timer is not scheduled.
+    /// Moves a timer from one time to another; `None` means that the timer is not scheduled.
     pub(crate) fn reschedule(&mut self, timer: T, from: Option<Time>, to: Option<Time>) {
         if let Some(time) = from {
             self.cancel(time, timer);
@@ -48,12 +48,12 @@
         }
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires.
     pub(crate) fn next_expiry(&self) -> Option<Time> {
         self.timers.first().map(|(expires_at, _)| *expires_at)
     }
 
-    /// Removes the next timer if it has expired; of several of one time the least.
+    /// Removes and returns the next timer if it has expired; of timers with the same expiry, the smallest.
     pub(crate) fn pop_expired(&mut self, now: Time) -> Option<T> {
         if self.next_expiry()? > now {
             return None;
@@ -61,12 +61,13 @@
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// The wake-up asked for has come: the next call of `next_wake_up` asks for another.
+    /// Records that the requested wake-up has occurred, so that `next_wake_up` can request another.
     pub(crate) fn woken_up(&mut self) {
         self.wake_up_at = None;
     }
 
-    /// The time until the next timer, if no wake-up has been asked for that comes as early.
+    /// Returns the time until the next timer, unless a wake-up at that time or earlier is already
+    /// requested.
     pub(crate) fn next_wake_up(&mut self, now: Time) -> Option<Span> {
         let next = self.next_expiry()?;
         if self.wake_up_at.is_some_and(|at| at <= next) {
