--- a/src/model/actions.rs
+++ b/src/model/actions.rs
@@ -1,21 +1,23 @@
-//! Actions: what the policy wants done.
+//! Actions: the output of the policy.
 
 use super::{FunctionId, RequestId, Span, WorkerId};
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// The workers could not serve it in time.
+    /// The workers could not serve the request in time.
     NotServed,
     /// The endpoint list is stale, and no worker is confirmed to take new work.
     NoConfirmedWorker,
 }
 
-/// What the policy decides on: the border between the policy and its host, which is the scheduler on real sockets or
-/// the adapter to the simulator. The host executes actions in the order in which the policy gives them.
+/// An action that the policy orders its host to execute.
+///
+/// The host is either the scheduler on real sockets or the adapter to the simulator. It executes actions in
+/// the order in which the policy returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt to a worker. The attempts of a request are numbered from 0, in the order of these
+    /// Sends an attempt to a worker. The attempts of a request are numbered from 0 in the order of these
     /// actions.
     Send {
         /// The request.
@@ -25,59 +27,59 @@
         /// Time limit of the attempt.
         timeout: Span,
     },
-    /// Stop waiting for an attempt.
+    /// Stops waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt's number.
+        /// Number of the attempt within its request.
         attempt: u16,
     },
-    /// Give the final response: rejected, and a retry is harmless.
+    /// Sends the final response that the request is rejected and may safely be retried.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries; zero for no advice.
+        /// How long the client should wait before it retries; zero gives no advice.
         retry_after: Span,
-        /// Why it is rejected.
+        /// Why the request is rejected.
         cause: RejectionCause,
     },
-    /// Give the final response: failed, and the request may have run.
+    /// Sends the final response that the request failed and may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Have a worker hold at least `instances` loaded instances of a function.
+    /// Orders a worker to hold at least `instances` loaded instances of a function.
     Load {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// How many instances.
+        /// Number of instances.
         instances: u8,
     },
-    /// Have a worker unload the idle instances of a function.
+    /// Orders a worker to unload the idle instances of a function.
     Unload {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
-    /// Check whether a worker is healthy.
+    /// Checks whether a worker is healthy.
     HealthCheck {
         /// The worker.
         worker: WorkerId,
     },
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay.
+    /// Requests an [`Event::TimerFired`](super::Event::TimerFired) after a delay.
     SetTimer {
         /// The delay, from now.
         delay: Span,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribes to changes of the endpoint list.
     Subscribe,
 }
 
 impl Action {
-    /// The action that has a worker hold a loaded instance of a function.
+    /// Returns the action that orders a worker to hold at least one loaded instance of a function.
     pub fn load_one(worker: WorkerId, function: FunctionId) -> Action {
         Action::Load {
             worker,
