--- a/src/model/endpoints.rs
+++ b/src/model/endpoints.rs
@@ -2,25 +2,25 @@
 
 use super::{CellId, KindId, Time, WorkerId, ZoneId};
 
-/// The state in which a worker is listed.
+/// The listed state of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may be sent requests.
+    /// The worker may be sent requests.
     #[default]
     Ready,
-    /// It completes what it has; nothing new may be sent to it.
+    /// The worker completes its current work and may not be sent new work.
     Draining,
-    /// It has been removed.
+    /// The worker has been removed.
     Gone,
 }
 
-/// Who has listed a worker.
+/// The source of an endpoint list entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointSource {
-    /// The discovery service, which publishes its changes.
+    /// The discovery service, which publishes changes of the entry.
     #[default]
     Discovery,
-    /// The configuration, which alone changes the entry.
+    /// The configuration, which alone can change the entry.
     Configuration,
 }
 
@@ -29,46 +29,48 @@
 pub struct Endpoint {
     /// The worker.
     pub worker: WorkerId,
-    /// Its zone.
+    /// Zone of the worker.
     pub zone: ZoneId,
-    /// Its cell, whose workers drop repeats of each other's requests with an idempotency key.
+    /// Cell of the worker. The workers of a cell drop repeats of each other's requests with an idempotency
+    /// key.
     pub cell: CellId,
-    /// Its state.
+    /// State of the worker.
     pub state: EndpointState,
-    /// Who has listed it.
+    /// Source of the entry.
     pub source: EndpointSource,
-    /// Its size in relation to other workers, without a unit. See [`Settings::weights_are_capacities`].
+    /// Size of the worker relative to other workers, without a unit. See
+    /// [`Settings::weights_are_capacities`].
     ///
     /// [`Settings::weights_are_capacities`]: super::Settings::weights_are_capacities
     pub weight: f64,
-    /// When its process last started; absent where that is long ago.
+    /// When the worker's process last started; `None` if that was long ago.
     pub started_at: Option<Time>,
-    /// Its machine kind.
+    /// Machine kind of the worker.
     pub kind: KindId,
 }
 
 impl Endpoint {
-    /// Whether it may be sent requests.
+    /// Returns whether the worker may be sent requests.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 }
 
-/// How an update relates to the endpoint list that the scheduler has.
+/// How an update relates to the scheduler's current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Only the entries that have changed.
+    /// Only the changed entries.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as discovery last held it, which may be out of date.
+    /// The complete list from the cache of the discovery service, which may be outdated.
     CachedSnapshot,
-    /// Discovery has failed; the list that is held stays valid.
+    /// Discovery failed; the current list stays valid.
     Failed,
 }
 
 impl EndpointUpdateKind {
-    /// Whether the update has the complete list, so that a worker that it leaves out is gone.
+    /// Returns whether the update contains the complete list, so that a worker that it omits is gone.
     pub fn is_complete(self) -> bool {
         matches!(
             self,
@@ -77,16 +79,17 @@
     }
 }
 
-/// What becomes of the watch of the endpoint list, as far as it says how old the list is.
+/// The state of the watch on the endpoint list, from which the age of the list follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchStatus {
     /// There is no discovery service to watch.
     Disabled,
-    /// The discovery service has been asked, or is about to be asked, for what was published since the list.
+    /// The changes since the current list have been requested from the discovery service or are about to
+    /// be.
     Requested,
-    /// A change has arrived; others may follow it.
+    /// A change has arrived; others may follow.
     EventReceived,
-    /// All that was published before has arrived.
+    /// All changes published before have arrived.
     Confirmed,
     /// The connection has ended.
     Disconnected,
