--- a/src/model/events.rs
+++ b/src/model/events.rs
@@ -5,52 +5,52 @@
     RequestId, Span, TenantId, WorkerId,
 };
 
-/// A request that has been received.
+/// A request that was received.
 #[derive(Clone, Copy, Debug)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// The function that it calls.
+    /// The requested function.
     pub function: FunctionId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: TenantId,
-    /// Time until its client gives up.
+    /// Time until the client gives up.
     pub remaining: Span,
     /// Memory of one loaded instance, in MB.
     pub memory_mb: f64,
-    /// Requests that one instance runs at a time.
+    /// Number of requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time of a load, where known.
+    /// Usual time of a load, if known.
     pub load_time: Option<Span>,
 }
 
-/// What happens to a scheduler.
+/// An event that a scheduler handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Discovery has given an update of the endpoint list.
+    /// Discovery has provided an update of the endpoint list.
     EndpointsUpdated {
-        /// How the update relates to the list that the policy holds.
+        /// How the update relates to the current list.
         kind: EndpointUpdateKind,
-        /// The entries; none after a failure.
+        /// The entries; empty after a failure.
         endpoints: Vec<Endpoint>,
     },
-    /// A request has been received; it is owed one final response.
+    /// A request has been received and needs exactly one final response.
     RequestReceived(IncomingRequest),
     /// An attempt has ended.
     AttemptFinished(AttemptOutcome),
-    /// A request's client has left; the request is owed nothing more.
+    /// The client of a request has disconnected; the request needs no response any more.
     ClientDisconnected(RequestId),
     /// A load order has ended.
     LoadFinished(LoadOutcome),
     /// A health check has ended.
     HealthCheckFinished {
-        /// The worker that was checked.
+        /// The checked worker.
         worker: WorkerId,
-        /// How it ended.
+        /// Result of the check.
         status: HealthCheckStatus,
     },
-    /// The time of an [`Action::SetTimer`](super::Action::SetTimer) has come.
+    /// The delay of an [`Action::SetTimer`](super::Action::SetTimer) has passed.
     TimerFired,
 }
