--- a/src/model/ids.rs
+++ b/src/model/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers of workers, functions, requests, classes, tenants, places and connections.
+//! Identifiers of workers, functions, requests, classes, tenants, zones, cells, machine kinds and
+//! connections.
 
 use std::fmt;
 
@@ -12,31 +13,33 @@
 }
 
 id! {
-    /// A worker; the same for all schedulers, and kept when its process restarts.
+    /// Id of a worker, the same for all schedulers and across restarts of the worker's process.
     WorkerId(u64);
-    /// A function (or model) that a worker can load.
+    /// Id of a function (or model) that a worker can load.
     FunctionId(u64);
-    /// A request as the scheduler numbers it; never used twice.
+    /// Id that the scheduler assigns to a request; never reused.
     RequestId(u32);
-    /// Place of a class in [`Settings::classes`](super::Settings::classes).
+    /// Index of a class in [`Settings::classes`](super::Settings::classes).
     ClassId(u16);
-    /// Place of a tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// Index of a tenant in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u16);
-    /// Place of a zone in [`Site::zones`](super::Site::zones). Requests that cross zones may cost something.
+    /// Index of a zone in [`Site::zones`](super::Site::zones). Requests that cross zones may have a cost.
     ZoneId(u8);
-    /// A cell: a small group of workers that drop repeats of each other's keyed requests.
+    /// Id of a cell: a small group of workers that drop repeats of each other's requests with an
+    /// idempotency key.
     CellId(u16);
-    /// Place of a machine kind in
+    /// Index of a machine kind in
     /// [`LoadingSettings::worker_memory_mb`](super::LoadingSettings::worker_memory_mb) and in
     /// [`Site::kinds`](super::Site::kinds).
     KindId(u8);
-    /// A connection, to a client or to a worker; never used twice in a process.
+    /// Id of a connection to a client or a worker; never reused within a process.
     ConnectionId(u64);
-    /// A request on its client's connection, as the frontend numbers it; never used twice on a connection.
+    /// Id that the frontend assigns to a request on its client's connection; never reused on the
+    /// connection.
     StreamId(u64);
 }
 
-/// Lets these identifiers stand in the log as plain numbers.
+/// Implements `Display` for identifiers, which prints them as plain numbers in the log.
 macro_rules! display_as_number {
     ($($name:ident),*) => {$(
         impl fmt::Display for $name {
