--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,7 @@
-//! Types that the policy shares with the code around it: identifiers, time, settings, the endpoint list,
-//! events and actions. They carry data only and decide nothing.
+//! Types shared by the policy and the code around it: identifiers, time, settings, the endpoint list,
+//! events and actions.
+//!
+//! They only carry data and make no decisions.
 
 mod actions;
 mod endpoints;
