--- a/src/model/outcomes.rs
+++ b/src/model/outcomes.rs
@@ -5,11 +5,11 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// The worker served it.
+    /// The worker served the request.
     Ok,
     /// The worker reported an error; the request may have run.
     Error,
-    /// The worker rejected it for lack of capacity; the request never ran.
+    /// The worker rejected the request for lack of capacity; the request never ran.
     AtCapacity,
     /// There was no response in time; the request may have run or may still run.
     Timeout,
@@ -17,20 +17,20 @@
     ConnectFailed,
     /// The connection broke; the request may have run.
     Reset,
-    /// The policy cancelled it; the request may have run.
+    /// The policy cancelled the attempt; the request may have run.
     Cancelled,
-    /// It reached its worker, or the simulator, too late: the request had ended or its time had passed. The request
-    /// never ran.
+    /// The attempt reached its worker, or the simulator, after the request had ended or its time had
+    /// passed; the request never ran.
     Expired,
-    /// It never left this process: it was no longer admitted, or no connection could be begun. This says nothing of
-    /// the worker.
+    /// The attempt never left this process, because it was no longer admitted or no connection could be
+    /// started. This says nothing about the worker.
     NotSent,
     /// The worker does not hold the function and is not loading it; the request never ran.
     Miss,
 }
 
 impl AttemptStatus {
-    /// Whether this status proves that the request never ran in this attempt.
+    /// Returns whether this status proves that the request never ran in this attempt.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -42,7 +42,7 @@
         )
     }
 
-    /// Whether it shows that the worker runs: the worker itself responded.
+    /// Returns whether the worker itself responded, which shows that it runs.
     pub fn is_response(self) -> bool {
         matches!(
             self,
@@ -60,18 +60,18 @@
     Error,
     /// The worker has no memory for all instances, has too many loads queued, or is draining.
     AtCapacity,
-    /// There was no response in time, or none that could be used.
+    /// There was no response in time, or none that was usable.
     Timeout,
     /// No connection was established.
     ConnectFailed,
     /// The connection broke; the order may still be carried out.
     Reset,
-    /// It never left this process. This says nothing of the worker.
+    /// The load order never left this process. This says nothing about the worker.
     NotSent,
 }
 
 impl LoadStatus {
-    /// Whether the worker itself responded.
+    /// Returns whether the worker itself responded.
     pub fn is_response(self) -> bool {
         matches!(self, LoadStatus::Ok | LoadStatus::Error | LoadStatus::AtCapacity)
     }
@@ -84,59 +84,59 @@
     Alive,
     /// There was no response in time.
     Timeout,
-    /// The worker could not be reached, or its response could not be used.
+    /// The worker could not be reached, or its response was not usable.
     Failed,
 }
 
 /// What a response says about the instance that served the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
-    /// Nothing.
+    /// The response does not say.
     Unknown,
-    /// An instance was loaded already.
+    /// An instance was already loaded.
     Loaded,
     /// The request started a load.
     LoadStarted,
-    /// The request waited for a load that had been started before.
+    /// The request waited for a load that had already been started.
     LoadAwaited,
     /// The load failed.
     LoadFailed,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
     /// The request.
     pub id: RequestId,
-    /// The attempt's number, from 0.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u16,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub latency: Span,
-    /// Whether the request has ended, with this attempt or before.
+    /// Whether the request has ended, with this attempt or earlier.
     pub request_finished: bool,
     /// What the response says about the instance.
     pub instance_state: InstanceState,
-    /// Requests for the same function in flight at the worker when this one arrived.
+    /// Number of requests for the same function in flight at the worker when this one arrived.
     pub function_in_flight: u32,
-    /// The worker's load report, its values in the order of [`Settings::load_metrics`]; often empty.
+    /// Load report of the worker, with values in the order of [`Settings::load_metrics`]; often empty.
     ///
     /// [`Settings::load_metrics`]: super::Settings::load_metrics
     pub load_report: Vec<f32>,
 }
 
-/// The end of a load order.
+/// The outcome of a load order.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOutcome {
     /// The worker.
     pub worker: WorkerId,
     /// The function.
     pub function: FunctionId,
-    /// Instances that are loaded there now; 0 where there was no response.
+    /// Number of instances that are now loaded on the worker; 0 if there was no response.
     pub instances: u32,
-    /// How it ended.
+    /// How the load order ended.
     pub status: LoadStatus,
-    /// Time since it was sent.
+    /// Time since the load order was sent.
     pub latency: Span,
 }
