--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,26 +1,27 @@
-//! The site's settings as the policy uses them.
+//! The settings of a site that the policy uses.
 
 use super::{Endpoint, Span, Time, ZoneId};
 
 /// Whether a request that may have run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// To any worker, at any time.
+    /// The request may be repeated on any worker at any time.
     Idempotent,
-    /// Only to workers that drop a repeat of the same idempotency key, and only while they do.
+    /// The request may be repeated only on workers that drop a repeat of the same idempotency key, and only
+    /// while they do.
     Keyed {
         /// The workers that drop a repeat.
         scope: DeduplicationScope,
-        /// For how long they do, from the time at which the first attempt that may have run was sent.
+        /// How long they drop a repeat, counted from the sending of the first attempt that may have run.
         window: Span,
     },
-    /// Never.
+    /// The request must not be repeated.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// Whether a repeat that arrives at `arrival` cannot run twice, where the first attempt that may have run
-    /// was sent at `first_sent_at`.
+    /// Returns whether a repeat that arrives at `arrival` cannot cause a second run, if the first attempt
+    /// that may have run was sent at `first_sent_at`.
     pub fn permits_repeat_at(self, arrival: Time, first_sent_at: Time) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -29,7 +30,8 @@
         }
     }
 
-    /// Whether `worker` drops a repeat of what `first` may have run, or the repeat does no harm.
+    /// Returns whether `worker` drops a repeat of a request that may have run on `first`, or the repeat is
+    /// harmless.
     pub fn permits_repeat_on(self, worker: &Endpoint, first: &Endpoint) -> bool {
         match self {
             Idempotency::Keyed {
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Whether the client may send a request again that may have run, to any worker.
+    /// Returns whether the client may repeat a request that may have run, on any worker.
     pub fn permits_client_retry(self) -> bool {
         match self {
             Idempotency::Idempotent => true,
@@ -54,7 +56,7 @@
     }
 }
 
-/// The workers that drop repeats of a keyed request which one of them has received.
+/// The workers that drop repeats of a request with an idempotency key after one of them has received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -68,11 +70,11 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// A response within this time earns the full weight.
+    /// Time within which a response earns the full weight.
     pub latency_objective: Span,
-    /// How long a client waits, over all its retries.
+    /// How long a client waits, across all its retries.
     pub deadline: Span,
-    /// Priority weight of a request in relation to those of other classes.
+    /// Priority weight of a request relative to requests of other classes.
     pub priority_weight: f64,
     /// Fraction of the weight, 0 to 1, that a response between the objective and the deadline earns.
     pub late_value: f64,
@@ -83,51 +85,54 @@
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second, over all schedulers, that are within its quota.
+    /// Requests per second, across all schedulers, that are within the tenant's quota.
     pub quota_per_second: f64,
 }
 
-/// Limits that protect workers which have just started, and the workers' rate of loads (page WIRE, "The
+/// Limits that protect workers that have just started, and the limit on load orders (page WIRE, "The
 /// contract").
 #[derive(Clone, Debug)]
 pub struct SafetyLimits {
-    /// Least fraction of its full capacity, 0 to 1, that a worker has when it starts.
+    /// Minimum fraction of its full capacity, 0 to 1, that a worker has when it starts.
     pub initial_capacity: f64,
-    /// Longest time until a worker that has started has its full capacity.
+    /// Maximum time from the start of a worker until it has its full capacity.
     pub warm_up_duration: Span,
-    /// A worker that is warming up collapses when it is sent more than this multiple of its present capacity
-    /// over `overload_window`.
+    /// Multiple of its current capacity beyond which a worker that is warming up collapses, if it is sent
+    /// more than that over `overload_window`.
     pub overload_multiple: f64,
     /// The window of `overload_multiple`.
     pub overload_window: Span,
-    /// How long new work may still be sent to a worker after its drain has been notified.
+    /// How long new work may still be sent to a worker after its drain has been announced.
     pub drain_grace: Span,
-    /// Limit on load orders, where there is one.
+    /// Limit on load orders, if there is one.
     pub load_rate_limit: Option<LoadRateLimit>,
 }
 
 impl SafetyLimits {
-    /// The fraction of its full capacity, 0 to 1, that a worker has at least, `age` after its start.
+    /// Returns the minimum fraction of its full capacity, 0 to 1, that a worker has at `age` after its
+    /// start.
     pub fn capacity_at(&self, age: Span) -> f64 {
         self.initial_capacity
             + (1.0 - self.initial_capacity) * age.as_secs_f64() / self.warm_up_duration.as_secs_f64()
     }
 }
 
-/// A limit on load orders: at most `burst + per_request * requests` of them in any `window`, where `requests`
-/// are those received in that window.
+/// A limit on load orders.
+///
+/// At most `burst + per_request * requests` load orders are allowed in any `window`, where `requests` are
+/// those received in that window.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadRateLimit {
-    /// Load orders that are always allowed.
+    /// Number of load orders that are always allowed.
     pub burst: f64,
-    /// Further load orders for each request received.
+    /// Additional load orders per received request.
     pub per_request: f64,
-    /// The window over which both are counted.
+    /// Window over which both are counted.
     pub window: Span,
 }
 
 impl LoadRateLimit {
-    /// Whether one more load order is allowed after so many load orders and requests in the window.
+    /// Returns whether one more load order is allowed after `load_orders` and `requests` in the window.
     pub fn allows(&self, load_orders: usize, requests: usize) -> bool {
         load_orders as f64 + 1.0 <= self.burst + self.per_request * requests as f64
     }
@@ -136,31 +141,32 @@
 /// What a site permits a scheduler to do.
 #[derive(Clone, Debug)]
 pub struct Permissions {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u16,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Workers may be sent health checks.
+    /// Whether workers may be sent health checks.
     pub may_probe: bool,
-    /// Workers may be ordered to load and unload functions.
+    /// Whether workers may be ordered to load and unload functions.
     pub may_order: bool,
-    /// Longest wait before a retry that a client can be advised; absent where clients are not advised.
+    /// Maximum wait before a retry that a client can be advised; `None` if clients are not advised.
     pub max_retry_after: Option<Span>,
 }
 
 /// What a worker does with a request for a function that it does not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnMiss {
-    /// It loads the function while the request waits.
+    /// The worker loads the function while the request waits.
     Load,
-    /// It responds with [`AttemptStatus::Miss`](super::AttemptStatus::Miss); only a load order loads the function.
+    /// The worker responds with [`AttemptStatus::Miss`](super::AttemptStatus::Miss); only a load order
+    /// loads the function.
     Miss,
 }
 
 /// How workers load and keep functions.
 #[derive(Clone, Debug)]
 pub struct LoadingSettings {
-    /// Least time for which an idle instance stays loaded, unless its memory is needed or it is unloaded.
+    /// Minimum time for which an idle instance stays loaded, unless its memory is needed or it is unloaded.
     pub keep_alive: Span,
     /// What a worker does on a miss.
     pub on_miss: OnMiss,
@@ -168,71 +174,71 @@
     pub worker_memory_mb: Vec<f64>,
 }
 
-/// What is taken off the result, as fractions of the whole, for each unit.
+/// Costs that are deducted from the score, each as a fraction of the full score per unit.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
-    /// All memory held by instances that run nothing, over the whole time.
+    /// Cost of all memory being held by idle instances over the whole time.
     pub idle_memory: f64,
-    /// One fetch from the function store for each request.
+    /// Cost of one fetch from the function store per request.
     pub store_fetch: f64,
-    /// One attempt in another zone for each request.
+    /// Cost of one attempt in another zone per request.
     pub cross_zone: f64,
-    /// All work done for nothing.
+    /// Cost of all work being wasted.
     pub wasted_work: f64,
-    /// One health check or load order for each request.
+    /// Cost of one health check or load order per request.
     pub health_check: f64,
 }
 
 /// What a value of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
-    /// Requests that run or wait at the worker.
+    /// Number of requests that run or wait at the worker.
     InFlight,
-    /// Requests that wait.
+    /// Number of requests that wait.
     QueueLength,
-    /// Utilization of the processor, 0 to 1.
+    /// Processor utilization, 0 to 1.
     Utilization,
-    /// Loads that run or wait.
+    /// Number of loads that run or wait.
     PendingLoads,
-    /// Fraction of the memory, 0 to 1, that cannot be freed: it is in use or being loaded.
+    /// Fraction of the memory, 0 to 1, that cannot be freed because it is in use or being loaded.
     PinnedMemory,
-    /// Something that the policy does not use.
+    /// A metric that the policy does not use.
     Other,
 }
 
 /// How changes of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Without being asked for.
+    /// Changes arrive without a subscription.
     Pushed,
-    /// Only after a subscription.
+    /// Changes arrive only after a subscription.
     OnRequest,
 }
 
-/// The settings that a scheduler gets at its start.
+/// The settings that a scheduler receives when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many schedulers there are.
+    /// Number of schedulers.
     pub scheduler_count: u32,
-    /// The number of this one, from 0.
+    /// Index of this scheduler, from 0.
     pub index: u32,
-    /// The zone of this one.
+    /// Zone of this scheduler.
     pub zone: ZoneId,
-    /// Shortest time between two batches of events.
+    /// Minimum time between two batches of events.
     pub tick: Span,
     /// Classes of requests, in the order of [`ClassId`](super::ClassId)s.
     pub classes: Vec<RequestClass>,
-    /// Tenants, in the order of [`TenantId`](super::TenantId)s; empty where there are none.
+    /// Tenants, in the order of [`TenantId`](super::TenantId)s; empty if there are none.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a fraction, 0 to 1, of its class's.
+    /// Weight of a request beyond its tenant's quota, as a fraction, 0 to 1, of the weight of its class.
     pub over_quota_weight: f64,
     /// Limits that protect workers.
     pub safety_limits: SafetyLimits,
-    /// What is permitted.
+    /// What the site permits the scheduler to do.
     pub permissions: Permissions,
     /// How functions are loaded.
     pub loading: LoadingSettings,
-    /// What is taken off the result.
+    /// Costs that are deducted from the score.
     pub prices: Prices,
     /// What the values of a load report measure, in their order.
     pub load_metrics: Vec<LoadMetric>,
@@ -241,12 +247,12 @@
     pub reports_function_in_flight: bool,
     /// How changes of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// Whether a worker's listed weight is a lasting measure of its capacity.
+    /// Whether the listed weight of a worker is a lasting measure of its capacity.
     pub weights_are_capacities: bool,
 }
 
 impl Settings {
-    /// The value of a load report that measures `metric`, if there is one.
+    /// Returns the value of a load report that measures `metric`, if there is one.
     pub fn load_metric(&self, metric: LoadMetric, report: &[f32]) -> Option<f64> {
         let place = self.load_metrics.iter().position(|known| *known == metric)?;
         report.get(place).map(|value| f64::from(*value))
