--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -1,22 +1,22 @@
-//! A site's settings with what connections need of them.
+//! A site: its settings and what connections need from them.
 
 use super::{KindId, RequestClass, Settings, Span, ZoneId};
 
-/// A site: the settings of the policy, and what the scheduler and its connections need beside them.
+/// The settings of the policy and the values that the scheduler and its connections need in addition.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The settings of the policy.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Names of the classes, in the order of [`Settings::classes`]; absent for a class that only requests
-    /// under way still belong to.
+    /// Names of the classes, in the order of [`Settings::classes`]; `None` for a class that only requests
+    /// in progress still use.
     pub class_names: Vec<Option<String>>,
     /// Names of the zones, in the order of [`ZoneId`]s.
     pub zones: Vec<String>,
     /// Names of the machine kinds, in the order of [`KindId`]s.
     pub kinds: Vec<String>,
-    /// Attempts that one connection to a worker carries at a time, at least 1.
+    /// Number of attempts that one connection to a worker carries at a time, at least 1.
     pub attempts_per_connection: usize,
-    /// Most open requests; further ones are rejected.
+    /// Maximum number of open requests; further requests are rejected.
     pub max_open_requests: usize,
     /// Time after which a worker closes an idle connection.
     pub idle_timeout: Span,
@@ -28,34 +28,34 @@
     pub load_metric_names: Vec<String>,
 }
 
-/// A class with the name under which new requests may ask for it.
+/// A class with the name by which new requests may select it.
 struct NamedClass {
     name: Option<String>,
     class: RequestClass,
 }
 
 impl Site {
-    /// Place in [`Settings::classes`] of the class that new requests may ask for by this name.
+    /// Returns the index in [`Settings::classes`] of the class that new requests may select by `name`.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.class_names
             .iter()
             .position(|known| known.as_deref() == Some(name))
     }
 
-    /// The zone of this name; the first zone where the name is unknown.
+    /// Returns the zone named `name`, or the first zone if the name is unknown.
     pub fn zone_id(&self, name: &str) -> ZoneId {
         ZoneId(position_or_first(&self.zones, name))
     }
 
-    /// The machine kind of this name; the first kind where the name is unknown.
+    /// Returns the machine kind named `name`, or the first kind if the name is unknown.
     pub fn kind_id(&self, name: &str) -> KindId {
         KindId(position_or_first(&self.kinds, name))
     }
 
-    /// The site after a reload with the settings of `new`.
+    /// Returns the site after a reload with the settings of `new`.
     ///
-    /// Classes keep their places, because requests under way know their class by its place. A class that
-    /// `new` lacks stays for these requests, without a name; one that only `new` has is appended.
+    /// Classes keep their indices, because requests in progress refer to their class by index. A class that
+    /// `new` lacks is kept for these requests, without a name; one that only `new` has is appended.
     pub fn reloaded_with(&self, new: Site) -> Site {
         let mut new_classes = new.named_classes();
         let mut merged: Vec<NamedClass> = Vec::new();
