--- a/src/model/time.rs
+++ b/src/model/time.rs
@@ -16,7 +16,7 @@
 impl Add<Span> for Time {
     type Output = Time;
 
-    /// The latest time that can be represented where the sum is later still.
+    /// Returns the sum, or the latest time that can be represented if the sum is later.
     fn add(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
@@ -25,7 +25,7 @@
 impl Sub<Time> for Time {
     type Output = Span;
 
-    /// Zero where `earlier` is in fact later.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     fn sub(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -34,7 +34,7 @@
 impl Sub<Span> for Time {
     type Output = Time;
 
-    /// Time zero where the span is longer than that.
+    /// Returns the difference, or time zero if the span is longer than the time.
     fn sub(self, span: Span) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
@@ -43,36 +43,36 @@
 impl Add<Span> for Span {
     type Output = Span;
 
-    /// The longest duration where the sum is longer still.
+    /// Returns the sum, or the longest duration that can be represented if the sum is longer.
     fn add(self, span: Span) -> Span {
         Span(self.0.saturating_add(span.0))
     }
 }
 
 impl Span {
-    /// A duration of this many milliseconds; the longest one where that cannot be represented.
+    /// Creates a duration of this many milliseconds, or the longest one if that cannot be represented.
     pub const fn from_millis(milliseconds: u64) -> Span {
         Span(milliseconds.saturating_mul(NANOSECONDS_PER_MILLISECOND))
     }
 
-    /// A duration of this many milliseconds, rounded down to nanoseconds; zero where it is negative or not a
+    /// Creates a duration of this many milliseconds, rounded down to nanoseconds; zero if negative or not a
     /// number.
     pub fn from_millis_f64(milliseconds: f64) -> Span {
         Span((milliseconds * NANOSECONDS_PER_MILLISECOND as f64) as u64)
     }
 
-    /// The duration in whole milliseconds, rounded up.
+    /// Returns the duration in whole milliseconds, rounded up.
     pub fn as_millis_rounded_up(self) -> u64 {
         self.0.div_ceil(NANOSECONDS_PER_MILLISECOND)
     }
 
-    /// The duration in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / NANOSECONDS_PER_SECOND
     }
 
-    /// The duration times a factor, rounded down to nanoseconds; zero where the product is negative or not a
-    /// number.
+    /// Returns the duration times a factor, rounded down to nanoseconds; zero if the product is negative or
+    /// not a number.
     pub fn mul_f64(self, factor: f64) -> Span {
         Span((self.0 as f64 * factor) as u64)
     }
