--- a/src/stats/decay.rs
+++ b/src/stats/decay.rs
@@ -9,17 +9,18 @@
 }
 
 impl DecayingAverage {
-    /// An average that is `initial` before its first sample.
+    /// Creates an average that is `initial` before its first sample.
     pub(crate) fn new(initial: f64) -> DecayingAverage {
         DecayingAverage { value: initial }
     }
 
-    /// The average.
+    /// Returns the average.
     pub(crate) fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes in a sample of this weight, from 0 (no effect) to 1 (the sample replaces the average).
+    /// Updates the average with a sample of a weight from 0 (no effect) to 1 (the sample replaces the
+    /// average).
     pub(crate) fn update(&mut self, sample: f64, weight: f64) {
         self.value += (sample - self.value) * weight;
     }
@@ -32,12 +33,12 @@
 }
 
 impl DecayingSum {
-    /// The sum.
+    /// Returns the sum.
     pub(crate) fn value(&self) -> f64 {
         self.value
     }
 
-    /// Adds to the sum.
+    /// Adds an amount to the sum.
     pub(crate) fn add(&mut self, amount: f64) {
         self.value += amount;
     }
@@ -47,18 +48,19 @@
         self.value = value;
     }
 
-    /// Lets the sum decay to this fraction of itself, 0 to 1: see [`decay_factor`] and [`half_life_factor`].
+    /// Multiplies the sum by a factor, 0 to 1. See [`decay_factor`] and [`half_life_factor`].
     pub(crate) fn scale(&mut self, factor: f64) {
         self.value *= factor;
     }
 }
 
-/// What remains of a quantity after `elapsed` when it falls to 1/e in `time_constant`, as a fraction, 0 to 1.
+/// Returns the fraction, 0 to 1, that remains of a quantity after `elapsed` if it falls to 1/e in
+/// `time_constant`.
 pub(crate) fn decay_factor(elapsed: Span, time_constant: Span) -> f64 {
     (-elapsed.as_secs_f64() / time_constant.as_secs_f64()).exp()
 }
 
-/// What remains of a quantity after `elapsed` when it halves in `half_life`, as a fraction, 0 to 1.
+/// Returns the fraction, 0 to 1, that remains of a quantity after `elapsed` if it halves in `half_life`.
 pub(crate) fn half_life_factor(elapsed: Span, half_life: Span) -> f64 {
     0.5f64.powf(elapsed.as_secs_f64() / half_life.as_secs_f64())
 }
