--- a/src/stats/mod.rs
+++ b/src/stats/mod.rs
@@ -1,4 +1,4 @@
-//! Statistics that forget: averages, sums and ratios in which recent samples count most.
+//! Statistics with decay: averages, sums and ratios in which recent samples count most.
 
 mod bounded_ratio;
 mod decay;
