--- a/src/stats/threshold.rs
+++ b/src/stats/threshold.rs
@@ -5,24 +5,24 @@
 /// The weights and thresholds of a [`ThresholdDetector`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ThresholdBounds {
-    /// Weight of a sample, from 0 to 1.
+    /// Weight of a sample, 0 to 1.
     pub(crate) sample_weight: f64,
-    /// The average above which the detector trips.
+    /// Average above which the detector trips.
     pub(crate) threshold: f64,
-    /// The average from which it starts again once it has tripped.
+    /// Value that the average is reset to when the detector trips.
     pub(crate) reset_value: f64,
-    /// The average up to which the detector counts as recovered.
+    /// Average up to which the detector counts as recovered.
     pub(crate) recovery_threshold: f64,
 }
 
-/// A moving average, 0 at first, that trips above a threshold and then starts again from a lower value.
+/// A moving average that starts at 0, trips above a threshold and is then reset to a lower value.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ThresholdDetector {
     average: DecayingAverage,
 }
 
 impl ThresholdDetector {
-    /// Takes in a sample; returns whether the detector trips.
+    /// Records a sample and returns whether the detector trips.
     pub(crate) fn record(&mut self, sample: f64, bounds: &ThresholdBounds) -> bool {
         self.average.update(sample, bounds.sample_weight);
         let trips = self.average.value() > bounds.threshold;
@@ -32,7 +32,7 @@
         trips
     }
 
-    /// Whether the average is low enough to count as recovered.
+    /// Returns whether the average is low enough to count as recovered.
     pub(crate) fn is_recovered(&self, bounds: &ThresholdBounds) -> bool {
         self.average.value() <= bounds.recovery_threshold
     }
