--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests and their attempts.
+//! Tests of requests and their attempts.
 
 use super::{FUNCTION, SECOND, cluster, endpoint, incoming, send};
 use crate::cluster::{Attempt, Request};
--- a/src/cluster/tests/endpoints.rs
+++ b/src/cluster/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! What an update of the endpoint list changes, and the orders and groups of the listed workers.
+//! Tests of endpoint list updates, hash orders and the grouping of workers by zone.
 
 use super::{FUNCTION, cluster, endpoint, send, workers};
 use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, FunctionId, Time, WorkerId, ZoneId};
--- a/src/cluster/tests/expiry.rs
+++ b/src/cluster/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! What is dropped or decays with time.
+//! Tests of expiry and decay.
 
 use super::{FUNCTION, SECOND, cluster, send};
 use crate::model::{Span, Time, WorkerId};
--- a/src/cluster/tests/functions.rs
+++ b/src/cluster/tests/functions.rs
@@ -1,4 +1,4 @@
-//! Functions: how they are ranked, and the bounds of their figures.
+//! Tests of the ranking of functions and the clamping of their properties.
 
 use super::{FUNCTION, SECOND, cluster, incoming};
 use crate::model::{FunctionId, IncomingRequest, Time};
--- a/src/cluster/tests/instances.rs
+++ b/src/cluster/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Instances: whether they are loaded, and their load orders.
+//! Tests of instances: whether they are expected to be loaded, and their load orders.
 
 use super::{FUNCTION, SECOND, cluster};
 use crate::cluster::Instance;
--- a/src/cluster/tests/mod.rs
+++ b/src/cluster/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The records of the cluster, by what has happened. This file has what the tests share.
+//! Tests of the cluster's records, with the fixtures that they share.
 
 mod attempts;
 mod endpoints;
@@ -42,7 +42,7 @@
     }
 }
 
-/// A cluster of workers 1 to 3 with one class, whose usual latency is half a second.
+/// Creates a cluster of workers 1 to 3 with one class, whose usual latency is half a second.
 fn cluster() -> Cluster {
     let mut cluster = Cluster {
         baseline_latency: vec![DecayingAverage::new(0.5)],
@@ -60,7 +60,7 @@
     cluster.workers.keys().map(|id| id.0).collect()
 }
 
-/// Takes in a request and sends it to a worker.
+/// Adds a request and sends it to a worker.
 fn send(cluster: &mut Cluster, id: u32, worker: u64, now: Time) -> Attempt {
     cluster.add_request(&incoming(id), SECOND, now);
     assert_eq!(
