--- a/src/collections/tests/backoff.rs
+++ b/src/collections/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff and its timer.
+//! Tests of exponential backoff and its timer.
 
 use crate::collections::{BackoffTimer, ExponentialBackoff};
 use crate::model::{Span, Time};
--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits, switches and counts that follow what is observed.
+//! Tests of AIMD limits, hysteresis, burst counters and liveness.
 
 use crate::collections::{AimdBounds, AimdLimit, BurstCounter, Hysteresis, Liveness};
 use crate::model::{Span, Time};
--- a/src/collections/tests/mod.rs
+++ b/src/collections/tests/mod.rs
@@ -1,4 +1,4 @@
-//! The data structures, by their own rules.
+//! Tests of the data structures.
 
 mod backoff;
 mod limits;
--- a/src/collections/tests/rendezvous.rs
+++ b/src/collections/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Weighted rendezvous hashing.
+//! Tests of weighted rendezvous hashing.
 
 use crate::collections::{RendezvousNode, mix64, weighted_rendezvous_order};
 use std::collections::BTreeSet;
--- a/src/collections/tests/selection.rs
+++ b/src/collections/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Selections from lists.
+//! Tests of selections from lists.
 
 use crate::collections::{least_by_cost, mix64, retain_unless_few, take_fitting};
 use std::collections::BTreeSet;
--- a/src/collections/tests/timers.rs
+++ b/src/collections/tests/timers.rs
@@ -1,4 +1,4 @@
-//! The timer queue and its wake-ups.
+//! Tests of the timer queue and its wake-ups.
 
 use crate::collections::TimerQueue;
 use crate::model::{Span, Time};
--- a/src/collections/tests/windows.rs
+++ b/src/collections/tests/windows.rs
@@ -1,4 +1,4 @@
-//! Logs and counts over windows of time.
+//! Tests of logs and counters over time windows.
 
 use crate::collections::{BucketClock, EventLog, SlidingWindowCounter};
 use crate::model::{Span, Time};
