--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -1,4 +1,4 @@
-//! The statistics, by their own figures.
+//! Tests of the statistics.
 
 use super::{
     BoundedRatio, DecayingAverage, DecayingSum, LoadEstimate, RatioBounds, ThresholdBounds,
