--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -1,4 +1,4 @@
-//! What the rules of a site say, as the model's types tell it.
+//! Tests of the rules that the model's types express.
 
 use super::{
     Action, AttemptStatus, CellId, DeduplicationScope, Endpoint, EndpointState, FunctionId, Idempotency,
