--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -75,7 +75,7 @@
 
     /// Returns the attempts on a worker that requests still wait for.
     pub(crate) fn attempts_on(&self, worker: WorkerId) -> Vec<(AttemptId, Attempt)> {
-        let there = self
+        let on_worker = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.endpoint.worker == worker);
@@ -83,7 +83,7 @@
             let request = self.requests.get(&id.request);
             request.is_some_and(|request| request.in_flight() == Some(id.number))
         };
-        there
+        on_worker
             .filter(|(id, _)| is_awaited(id))
             .map(|(id, attempt)| (*id, *attempt))
             .collect()
