--- a/src/cluster/endpoints.rs
+++ b/src/cluster/endpoints.rs
@@ -75,8 +75,8 @@
         zones
     }
 
-    /// Returns the time of the latest response of any worker that `is_included` selects, or `None` if it selects
-    /// none.
+    /// Returns the time of the latest response of any worker that `is_included` selects, or `None` if it
+    /// selects none.
     pub(crate) fn last_response_at(&self, is_included: impl Fn(&Worker) -> bool) -> Option<Time> {
         let workers = self.workers.values().filter(|worker| is_included(worker));
         workers
