--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -20,7 +20,7 @@
         expected_warm: true,
     };
     assert_eq!(request.begin_attempt(), 0);
-    assert!(!request.never_ran(), "it may run now");
+    assert!(!request.never_ran(), "the attempt in flight may run");
     request.end_attempt(attempt(Time(10)), AttemptStatus::Miss);
     assert!(request.never_ran());
     for sent_at in [Time(20), Time(30)] {
@@ -39,7 +39,7 @@
     assert!(cluster.request_without_attempt(RequestId(1)).is_none());
     cluster.requests.remove(&RequestId(1));
     let awaited = cluster.attempts_on(WorkerId(1));
-    assert_eq!(awaited.len(), 1, "nobody waits for the other");
+    assert_eq!(awaited.len(), 1, "no request waits for the other attempt");
     assert_eq!(
         awaited[0].0.cancel(),
         Action::Cancel {
@@ -56,7 +56,7 @@
 fn the_end_of_an_attempt_lowers_the_load_and_shows_whether_the_worker_was_silent() {
     let mut cluster = cluster();
     let attempt = send(&mut cluster, 1, 1, Time(20));
-    let worker = cluster.process_of(&attempt).expect("a listed worker");
+    let worker = cluster.process_of(&attempt).expect("the worker should be listed");
     assert_eq!(
         (worker.load.in_flight(), worker.instance(FUNCTION).in_flight),
         (1, 1)
@@ -64,7 +64,7 @@
     assert_eq!(worker.awaited_loads(Time(20)), 1);
     assert!(
         worker.end_attempt(&attempt, AttemptStatus::Timeout, None, Time(30)),
-        "nothing was heard"
+        "the worker has not responded"
     );
     assert_eq!(
         (worker.load.in_flight(), worker.instance(FUNCTION).in_flight),
@@ -74,7 +74,7 @@
     worker.end_attempt(&attempt, AttemptStatus::Miss, Some(5.0), Time(40));
     assert!(
         !worker.end_attempt(&attempt, AttemptStatus::Timeout, None, Time(50)),
-        "it was heard at 40"
+        "the worker responded at 40"
     );
     assert_eq!(worker.health.liveness.last_response_at(), Time(40));
     assert_eq!(worker.load.total_in_flight(), 5.0);
--- a/src/cluster/tests/endpoints.rs
+++ b/src/cluster/tests/endpoints.rs
@@ -42,7 +42,7 @@
         "the attempt went to another process"
     );
     let sent = cluster.send_history[&WorkerId(1)].weight_since(Time(0));
-    assert_eq!(sent, 0.5, "what was sent to the worker is kept");
+    assert_eq!(sent, 0.5, "the record of sent work is kept");
 }
 
 #[test]
--- a/src/cluster/tests/expiry.rs
+++ b/src/cluster/tests/expiry.rs
@@ -18,15 +18,18 @@
     cluster.prune(Time(30), Span(5));
     assert!(
         cluster.functions.contains_key(&FUNCTION),
-        "a request waits for it"
+        "a request for the function is open"
     );
     assert_eq!(
         cluster.workers[&WorkerId(1)].instances.len(),
         1,
-        "an attempt is in flight there"
+        "an attempt to the instance is in flight"
     );
     cluster.requests.clear();
-    let worker = cluster.workers.get_mut(&WorkerId(1)).expect("a listed worker");
+    let worker = cluster
+        .workers
+        .get_mut(&WorkerId(1))
+        .expect("the worker should be listed");
     worker.instance_mut(FUNCTION).end_request();
     cluster.prune(Time(30), Span(5));
     assert!(cluster.functions.is_empty() && cluster.workers[&WorkerId(1)].instances.is_empty());
@@ -42,7 +45,7 @@
     cluster
         .workers
         .get_mut(&WorkerId(1))
-        .expect("a listed worker")
+        .expect("the worker should be listed")
         .load
         .report(8.0);
     cluster.decay_reports(SECOND, SECOND);
--- a/src/cluster/tests/instances.rs
+++ b/src/cluster/tests/instances.rs
@@ -15,7 +15,10 @@
     assert!(!instance.is_loaded(Time(50)));
     assert!(instance.missed_within(Time(59), Span(10)) && !instance.missed_within(Time(60), Span(10)));
     instance.confirm(Time(100));
-    assert!(!instance.missed_within(Time(55), Span(10)), "it was seen since");
+    assert!(
+        !instance.missed_within(Time(55), Span(10)),
+        "it was seen loaded since"
+    );
     instance.expire();
     assert!(!instance.is_loaded(Time(55)) && !instance.missed_within(Time(55), Span(10)));
 }
@@ -29,9 +32,12 @@
     assert_eq!(
         cluster.pending_loads(FUNCTION, Time(110), Span(10)),
         0,
-        "the order is old"
+        "the order is older than the span"
     );
-    let worker = cluster.workers.get_mut(&WorkerId(1)).expect("a listed worker");
+    let worker = cluster
+        .workers
+        .get_mut(&WorkerId(1))
+        .expect("the worker should be listed");
     assert_eq!(worker.ordered_loads(Time(100)), 1);
     let instance = worker.instance_mut(FUNCTION);
     assert!(!instance.can_order_load(Time(100)));
--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -40,8 +40,11 @@
         expected_warm: bool,
         now: Time,
     ) -> Span {
-        let request = self.requests.get_mut(&id).expect("a request that is placed");
-        let worker = self.workers.get_mut(&worker).expect("a listed worker");
+        let request = self.requests.get_mut(&id).expect("the request should be known");
+        let worker = self
+            .workers
+            .get_mut(&worker)
+            .expect("the worker should be listed");
         let number = request.begin_attempt();
         let attempt = Attempt {
             sent_at: now,
--- a/src/collections/tests/backoff.rs
+++ b/src/collections/tests/backoff.rs
@@ -20,7 +20,7 @@
     assert_eq!(timer.failures(), 2);
     assert!(timer.is_active(Time(199)) && !timer.is_active(Time(200)));
     timer.reset_failures();
-    assert!(timer.is_active(Time(199)), "the wait under way is kept");
+    assert!(timer.is_active(Time(199)), "the current backoff continues");
     let mut extended = timer;
     extended.extend(Time(0), BACKOFF);
     assert!(extended.is_active(Time(199)));
--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -51,12 +51,12 @@
     let mut counter = BurstCounter::default();
     let mut reaches_two = |at| counter.record(Time(at), Span(30), 2);
     assert!(!reaches_two(100) && !reaches_two(120));
-    assert!(!reaches_two(130), "30 after the counted one is still its burst");
-    assert!(reaches_two(131));
     assert!(
-        !reaches_two(140),
-        "the burst goes on after the count has started from zero"
+        !reaches_two(130),
+        "an event 30 after the counted one belongs to its burst"
     );
+    assert!(reaches_two(131));
+    assert!(!reaches_two(140), "the burst continues after the count was reset");
     assert!(!reaches_two(200), "one");
     assert!(reaches_two(300), "two");
     assert!(!reaches_two(400));
--- a/src/collections/tests/selection.rs
+++ b/src/collections/tests/selection.rs
@@ -19,12 +19,12 @@
     assert_eq!(
         take_fitting(vec![6.0, 1.0], 5.0, size),
         [0.0; 0],
-        "what comes after the first misfit is not taken"
+        "items after the first that does not fit are not taken"
     );
     assert_eq!(
         take_fitting(vec![1.0], f64::INFINITY, size),
         [0.0; 0],
-        "no sensible capacity"
+        "an infinite capacity takes nothing"
     );
     assert_eq!(take_fitting(vec![f64::NAN], 5.0, size).len(), 0);
 }
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -129,7 +129,11 @@
     load.end();
     assert_eq!(load.total_in_flight(), 3.0);
     load.report(0.0);
-    assert_eq!(load.total_in_flight(), 1.0, "own requests are known better");
+    assert_eq!(
+        load.total_in_flight(),
+        1.0,
+        "the own count takes precedence over a lower report"
+    );
     load.end();
     load.end();
     assert_eq!(load.in_flight(), 0);
