--- a/src/cluster/tests/functions.rs
+++ b/src/cluster/tests/functions.rs
@@ -27,11 +27,11 @@
 
 #[test]
 fn invalid_values_of_a_function_are_clamped() {
-    for absurd in [f64::NAN, f64::INFINITY, -3.0] {
+    for invalid in [f64::NAN, f64::INFINITY, -3.0] {
         let mut cluster = cluster();
         let request = IncomingRequest {
-            memory_mb: absurd,
-            concurrency: absurd,
+            memory_mb: invalid,
+            concurrency: invalid,
             ..incoming(1)
         };
         cluster.add_request(&request, SECOND, Time(20));
