--- a/src/frontend/conversions.rs
+++ b/src/frontend/conversions.rs
@@ -17,9 +17,9 @@
 
 /// When the response to a request received at `now` must be sent, if its client waits for so many
 /// milliseconds.
-pub(super) fn response_deadline(now: Time, allowed_millis: u64) -> Time {
-    let allowed = Span::from_millis(allowed_millis.min(MAX_ALLOWED_MILLIS));
-    now + Span(allowed.0.saturating_sub(RESPONSE_TRANSIT_TIME.0))
+pub(super) fn response_deadline(now: Time, timeout_millis: u64) -> Time {
+    let timeout = Span::from_millis(timeout_millis.min(MAX_ALLOWED_MILLIS));
+    now + Span(timeout.0.saturating_sub(RESPONSE_TRANSIT_TIME.0))
 }
 
 /// The time that loading a function takes, from milliseconds; 0 means unknown.
--- a/src/frontend/frame_codec/request.rs
+++ b/src/frontend/frame_codec/request.rs
@@ -59,7 +59,7 @@
     let correlation_id = fields.require("ref")?;
     fields.require_id("ref")?;
     let function = FunctionId(fields.require_id("lookup")?);
-    let allowed_millis = parse_millis(fields.require("allow")?)?;
+    let timeout_millis = parse_millis(fields.require("allow")?)?;
     if fields.rest.len() > MAX_BODY_BYTES {
         return Err(InvalidRequest::BodyTooLarge.into());
     }
@@ -71,7 +71,7 @@
         memory_mb: spec.memory_mb,
         concurrency: spec.concurrency,
         load_time: spec.load_time,
-        deadline: response_deadline(now, allowed_millis),
+        deadline: response_deadline(now, timeout_millis),
         body: fields.rest.to_vec(),
     };
     Ok(ClientRequest {
--- a/src/frontend/jsonrpc_codec/request.rs
+++ b/src/frontend/jsonrpc_codec/request.rs
@@ -72,7 +72,7 @@
     /// The requested function.
     pub function: FunctionId,
     /// How long the client waits, in milliseconds.
-    pub allowed_millis: u64,
+    pub timeout_millis: u64,
     /// The client's own id for the request, 16 hex digits.
     pub correlation_id: Option<String>,
     /// Idempotency key, in keyed classes.
@@ -97,7 +97,7 @@
             memory_mb: self.memory_mb,
             concurrency: self.concurrency,
             load_time: self.load_time,
-            deadline: response_deadline(now, self.allowed_millis),
+            deadline: response_deadline(now, self.timeout_millis),
             body: self.body,
         }
     }
@@ -204,7 +204,7 @@
     Ok(CallParams {
         class: required_text(params, "class")?,
         function: FunctionId(hex_id(&function, "function")?),
-        allowed_millis: whole_number(params, "allow_ms")?,
+        timeout_millis: whole_number(params, "allow_ms")?,
         correlation_id,
         key: text(params, "key")?,
         memory_mb: non_negative_number(params, "memory_mb", 0.0)?,
--- a/src/frontend/jsonrpc_codec/tests.rs
+++ b/src/frontend/jsonrpc_codec/tests.rs
@@ -102,7 +102,7 @@
         panic!("a call")
     };
     assert_eq!(
-        (id, params.allowed_millis, params.concurrency),
+        (id, params.timeout_millis, params.concurrency),
         (json!("a"), 1500, 2.0)
     );
     assert_eq!((params.key.as_deref(), &params.body[..]), (Some("k"), &b"hi"[..]));
