--- a/src/frontend/conversions.rs
+++ b/src/frontend/conversions.rs
@@ -1,6 +1,6 @@
 //! Conversions between values as both protocols write them and the scheduler's types.
 
-use super::limits::{MAX_ALLOWED_MILLIS, RESPONSE_TRANSIT_TIME};
+use super::limits::{MAX_TIMEOUT_MILLIS, RESPONSE_TRANSIT_TIME};
 use crate::model::{Span, Time};
 
 /// Digits of an id in hexadecimal.
@@ -18,7 +18,7 @@
 /// When the response to a request received at `now` must be sent, if its client waits for so many
 /// milliseconds.
 pub(super) fn response_deadline(now: Time, timeout_millis: u64) -> Time {
-    let timeout = Span::from_millis(timeout_millis.min(MAX_ALLOWED_MILLIS));
+    let timeout = Span::from_millis(timeout_millis.min(MAX_TIMEOUT_MILLIS));
     now + Span(timeout.0.saturating_sub(RESPONSE_TRANSIT_TIME.0))
 }
 
--- a/src/frontend/limits.rs
+++ b/src/frontend/limits.rs
@@ -7,7 +7,7 @@
 /// Largest body of a request, in bytes.
 pub(super) const MAX_BODY_BYTES: usize = 16 << 10;
 /// Longest time that a client may ask to wait; more counts as this.
-pub(super) const MAX_ALLOWED_MILLIS: u64 = 3_600_000;
+pub(super) const MAX_TIMEOUT_MILLIS: u64 = 3_600_000;
 /// Time that a response takes back to its client; the scheduler's deadlines are earlier by it.
 pub(super) const RESPONSE_TRANSIT_TIME: Span = Span::from_millis(5);
 /// Time within which a message that has begun must be complete. One that never ends holds a descriptor and a
