--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -19,13 +19,13 @@
 use crate::runtime::Context;
 use crate::scheduler::{Outcome, Response};
 use admission::Admission;
-use frame_reader::{FrameReader, InputFrame, MAX_USABLE_FRAME_LENGTH};
+use frame_reader::{FrameReader, InputFrame, MAX_ACCEPTED_FRAME_LENGTH};
 use protocol_error::ProtocolError;
 use tracing::{debug, warn};
 
 /// Buffers of a connection: a usable frame with its length field, and output that waits.
 const BUFFER_LIMITS: BufferLimits = BufferLimits {
-    input: MAX_USABLE_FRAME_LENGTH + 4,
+    input: MAX_ACCEPTED_FRAME_LENGTH + 4,
     output: MAX_UNSENT_BYTES,
 };
 /// A connection without open requests is closed after so long without a frame. Clients close theirs after 4
--- a/src/frontend/frame_connection/frame_reader.rs
+++ b/src/frontend/frame_connection/frame_reader.rs
@@ -6,7 +6,7 @@
 /// Largest length of a frame that can be of use: a body and its fields. A longer one is not kept, as hundreds
 /// of connections may bring one each: its request has failed once its header is known, and the rest is passed
 /// over.
-pub(super) const MAX_USABLE_FRAME_LENGTH: usize = 32 << 10;
+pub(super) const MAX_ACCEPTED_FRAME_LENGTH: usize = 32 << 10;
 
 /// A frame at the start of the input.
 pub(super) enum InputFrame<'a> {
@@ -63,7 +63,7 @@
             self.advance(frame.encoded_length());
             return Ok(Some(InputFrame::Complete(frame)));
         }
-        let header = FrameHeader::decode(rest).filter(|header| header.length > MAX_USABLE_FRAME_LENGTH);
+        let header = FrameHeader::decode(rest).filter(|header| header.length > MAX_ACCEPTED_FRAME_LENGTH);
         Ok(header.map(InputFrame::Oversized))
     }
 
--- a/src/frontend/frame_connection/tests.rs
+++ b/src/frontend/frame_connection/tests.rs
@@ -1,6 +1,6 @@
 use super::ProtocolError;
 use super::admission::Admission;
-use super::frame_reader::{FrameReader, InputFrame, MAX_USABLE_FRAME_LENGTH};
+use super::frame_reader::{FrameReader, InputFrame, MAX_ACCEPTED_FRAME_LENGTH};
 use crate::frontend::frame_codec::{FrameError, FrameType, encode_frame};
 use crate::net::PartialMessage;
 
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_oversized_frame_is_skipped_over_several_reads() {
-    let oversized = encode_frame(FrameType::Request, 7, &[&vec![0; MAX_USABLE_FRAME_LENGTH]]);
+    let oversized = encode_frame(FrameType::Request, 7, &[&vec![0; MAX_ACCEPTED_FRAME_LENGTH]]);
     let (first, rest) = oversized.split_at(20);
     let mut reader = FrameReader::new(first, 0);
     let Ok(Some(InputFrame::Oversized(header))) = reader.next_frame() else {
