--- a/src/frontend/jsonrpc_codec/request.rs
+++ b/src/frontend/jsonrpc_codec/request.rs
@@ -138,7 +138,7 @@
         return Request::invalid(Value::Null, RequestError::InvalidId);
     }
     match (decode_invocation(&object), id) {
-        (Ok(invocation), Some(id)) => decode_call(invocation, id),
+        (Ok(invocation), Some(id)) => decode_request_with_id(invocation, id),
         (Ok(invocation), None) => decode_notification(invocation),
         (Err(error), id) => Request::invalid(id.unwrap_or_default(), error),
     }
@@ -176,7 +176,7 @@
     }
 }
 
-fn decode_call(invocation: Invocation, id: Value) -> Request {
+fn decode_request_with_id(invocation: Invocation, id: Value) -> Request {
     match invocation.method {
         methods::CALL => {}
         methods::CANCEL => return Request::invalid(id, RequestError::CancelWithId),
