--- a/src/frontend/jsonrpc_codec/tests.rs
+++ b/src/frontend/jsonrpc_codec/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// Checks the error code and the id, as JSON text, that a line is answered with.
-fn assert_rejected(line: &str, expected: ErrorCode, id: &str) {
+fn assert_error(line: &str, expected: ErrorCode, id: &str) {
     let response = error_response(line);
     assert_eq!(
         response["error"]["code"].as_i64(),
@@ -71,7 +71,7 @@
         ),
     ];
     for (line, expected, id) in cases {
-        assert_rejected(&line, expected, id);
+        assert_error(&line, expected, id);
     }
 }
 
@@ -88,7 +88,7 @@
         format!(r#"{call}{{"class":"c","function":"7f3a9c21e0b4d655","allow_ms":9,"lanes":1e999}}}}"#),
     ];
     for line in lines {
-        assert_rejected(&line, ErrorCode::InvalidParams, "1");
+        assert_error(&line, ErrorCode::InvalidParams, "1");
     }
 }
 
