--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -112,7 +112,7 @@
         for request in requests {
             self.handle_request(request, Some(id), session, socket, context);
         }
-        if let Some(responses) = self.batches.requests_handled(id) {
+        if let Some(responses) = self.batches.mark_requests_handled(id) {
             enqueue_line(&responses, socket);
         }
     }
--- a/src/frontend/jsonrpc_connection/batches.rs
+++ b/src/frontend/jsonrpc_connection/batches.rs
@@ -20,7 +20,7 @@
 }
 
 impl Batches {
-    /// Begins a batch to which so many responses are due. [`Batches::requests_handled`] is to follow.
+    /// Begins a batch to which so many responses are due. [`Batches::mark_requests_handled`] is to follow.
     pub(super) fn begin(&mut self, id: BatchId, responses: usize) {
         // One more is missing until all requests have been handled, as some are answered while they are.
         let batch = OpenBatch {
@@ -31,7 +31,7 @@
     }
 
     /// All requests of a batch have been handled. Gives its responses if it is complete and has any.
-    pub(super) fn requests_handled(&mut self, id: BatchId) -> Option<Value> {
+    pub(super) fn mark_requests_handled(&mut self, id: BatchId) -> Option<Value> {
         self.complete_part(id)
     }
 
--- a/src/frontend/jsonrpc_connection/tests.rs
+++ b/src/frontend/jsonrpc_connection/tests.rs
@@ -37,7 +37,7 @@
     let mut batches = Batches::default();
     batches.begin(BATCH, 2);
     assert_eq!(batches.add_response(BATCH, json!(1)), None);
-    assert_eq!(batches.requests_handled(BATCH), None);
+    assert_eq!(batches.mark_requests_handled(BATCH), None);
     assert_eq!(batches.add_response(BATCH, json!(2)), Some(json!([1, 2])));
     assert_eq!(batches.add_response(BATCH, json!(3)), None, "complete before");
 }
@@ -47,7 +47,7 @@
     let mut batches = Batches::default();
     batches.begin(BATCH, 1);
     assert_eq!(batches.add_response(BATCH, json!(1)), None);
-    assert_eq!(batches.requests_handled(BATCH), Some(json!([1])));
+    assert_eq!(batches.mark_requests_handled(BATCH), Some(json!([1])));
     batches.begin(BATCH, 0);
-    assert_eq!(batches.requests_handled(BATCH), None, "no responses");
+    assert_eq!(batches.mark_requests_handled(BATCH), None, "no responses");
 }
