--- a/src/frontend/jsonrpc_connection/batches.rs
+++ b/src/frontend/jsonrpc_connection/batches.rs
@@ -9,7 +9,7 @@
 
 /// A batch of which some responses are still to come.
 struct OpenBatch {
-    missing: usize,
+    pending_parts: usize,
     responses: Vec<Value>,
 }
 
@@ -24,7 +24,7 @@
     pub(super) fn begin(&mut self, id: BatchId, responses: usize) {
         // One more is missing until all requests have been handled, as some are answered while they are.
         let batch = OpenBatch {
-            missing: 1 + responses,
+            pending_parts: 1 + responses,
             responses: Vec::new(),
         };
         self.open.insert(id, batch);
@@ -43,8 +43,8 @@
 
     fn complete_part(&mut self, id: BatchId) -> Option<Value> {
         let batch = self.open.get_mut(&id)?;
-        batch.missing -= 1;
-        if batch.missing > 0 {
+        batch.pending_parts -= 1;
+        if batch.pending_parts > 0 {
             return None;
         }
         let responses = self.open.remove(&id)?.responses;
