--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -39,7 +39,7 @@
 
 /// Whether the client has been notified that the server is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum GoAway {
+enum GoAwayState {
     NotSent,
     Sent,
 }
@@ -53,7 +53,7 @@
 pub(crate) struct FrameProtocol {
     used_streams: UsedStreamIds,
     admission: Admission,
-    go_away: GoAway,
+    go_away: GoAwayState,
     /// Bytes still to come of a frame that is too long; they are skipped.
     bytes_to_skip: usize,
 }
@@ -80,7 +80,7 @@
         FrameProtocol {
             used_streams: UsedStreamIds::default(),
             admission,
-            go_away: GoAway::NotSent,
+            go_away: GoAwayState::NotSent,
             bytes_to_skip: 0,
         }
     }
@@ -264,8 +264,8 @@
     }
 
     fn notify_draining(&mut self, socket: &mut BufferedStream) {
-        if self.go_away == GoAway::NotSent {
-            self.go_away = GoAway::Sent;
+        if self.go_away == GoAwayState::NotSent {
+            self.go_away = GoAwayState::Sent;
             socket.enqueue(&encode_frame(FrameType::GoAway, CONNECTION_STREAM, &[]));
         }
     }
