--- a/src/frontend/frame_connection/admission.rs
+++ b/src/frontend/frame_connection/admission.rs
@@ -2,7 +2,7 @@
 
 /// Whether a client has completed a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
+pub(super) enum FirstFrameState {
     AwaitingFirstFrame,
     FrameReceived,
 }
@@ -11,9 +11,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     /// They are passed to the scheduler.
-    Serving(Progress),
+    Serving(FirstFrameState),
     /// Every one is rejected, because there are too many clients, and the connection ends with the first.
-    Shedding(Progress),
+    Shedding(FirstFrameState),
     /// One has been rejected for that: the connection ends.
     Shed,
 }
@@ -21,19 +21,19 @@
 impl Admission {
     /// That of a new connection whose requests are served.
     pub(super) fn serving() -> Admission {
-        Admission::Serving(Progress::AwaitingFirstFrame)
+        Admission::Serving(FirstFrameState::AwaitingFirstFrame)
     }
 
     /// That of a new connection that was accepted only to have its requests rejected.
     pub(super) fn shedding() -> Admission {
-        Admission::Shedding(Progress::AwaitingFirstFrame)
+        Admission::Shedding(FirstFrameState::AwaitingFirstFrame)
     }
 
     /// The client has completed a frame.
     pub(super) fn record_frame(&mut self) {
         match self {
             Admission::Serving(progress) | Admission::Shedding(progress) => {
-                *progress = Progress::FrameReceived;
+                *progress = FirstFrameState::FrameReceived;
             }
             Admission::Shed => {}
         }
@@ -43,7 +43,7 @@
     pub(super) fn has_received_frame(self) -> bool {
         match self {
             Admission::Serving(progress) | Admission::Shedding(progress) => {
-                progress == Progress::FrameReceived
+                progress == FirstFrameState::FrameReceived
             }
             Admission::Shed => true,
         }
