--- a/src/frontend/session.rs
+++ b/src/frontend/session.rs
@@ -100,17 +100,17 @@
 
     /// When the first of the timers expires.
     pub(super) fn next_timer(&self, idle_timeout: Span) -> Option<Time> {
-        self.timers.next(self.while_idle(idle_timeout))
+        self.timers.next(self.effective_idle_timeout(idle_timeout))
     }
 
     /// Whether the connection has been idle or closing for too long.
     pub(super) fn timed_out(&self, now: Time, idle_timeout: Span) -> bool {
         self.timers
-            .connection_timed_out(now, self.while_idle(idle_timeout))
+            .connection_timed_out(now, self.effective_idle_timeout(idle_timeout))
     }
 
     /// The idle timeout, which does not count while requests are open.
-    fn while_idle(&self, idle_timeout: Span) -> Option<Span> {
+    fn effective_idle_timeout(&self, idle_timeout: Span) -> Option<Span> {
         self.open_requests.is_empty().then_some(idle_timeout)
     }
 }
