--- a/src/frontend/jsonrpc_connection/line_reader.rs
+++ b/src/frontend/jsonrpc_connection/line_reader.rs
@@ -10,7 +10,7 @@
     /// Longest line in bytes.
     limit: usize,
     /// The rest of a line that was too long is skipped.
-    skips_line: bool,
+    is_skipping_line: bool,
 }
 
 impl LineReader {
@@ -18,7 +18,7 @@
     pub(super) fn new(limit: usize) -> LineReader {
         LineReader {
             limit,
-            skips_line: false,
+            is_skipping_line: false,
         }
     }
 
@@ -27,7 +27,7 @@
         loop {
             let end = input.iter().position(|byte| *byte == LINE_FEED)?;
             let mut line: Vec<u8> = input.drain(..=end).collect();
-            if std::mem::take(&mut self.skips_line) {
+            if std::mem::take(&mut self.is_skipping_line) {
                 continue;
             }
             if end > self.limit {
@@ -48,7 +48,7 @@
             return Ok(());
         }
         input.clear();
-        if std::mem::replace(&mut self.skips_line, true) {
+        if std::mem::replace(&mut self.is_skipping_line, true) {
             return Ok(());
         }
         Err(RequestError::LineTooLong)
@@ -56,7 +56,7 @@
 
     /// What the rest of the input holds of a line, after a read that began with so many bytes.
     pub(super) fn partial_line(&self, input: &[u8], buffered_before: usize) -> PartialMessage {
-        let is_incomplete = self.skips_line || !input.is_empty() && !input.contains(&LINE_FEED);
+        let is_incomplete = self.is_skipping_line || !input.is_empty() && !input.contains(&LINE_FEED);
         PartialMessage::after_read(is_incomplete, input.len() < buffered_before)
     }
 }
