--- a/src/frontend/stream_ids.rs
+++ b/src/frontend/stream_ids.rs
@@ -6,7 +6,7 @@
 mod tests;
 
 /// Used ids above the floor that are remembered one by one.
-const MAX_REMEMBERED: usize = 4096;
+const MAX_IDS_ABOVE_FLOOR: usize = 4096;
 
 /// The used stream ids of a connection: all up to a floor, and some above it.
 ///
@@ -26,7 +26,7 @@
         while self.above_floor.remove(&(self.floor + 1)) {
             self.floor += 1;
         }
-        if self.above_floor.len() > MAX_REMEMBERED
+        if self.above_floor.len() > MAX_IDS_ABOVE_FLOOR
             && let Some(lowest) = self.above_floor.pop_first()
         {
             self.floor = lowest;
