--- a/src/frontend/client_connection.rs
+++ b/src/frontend/client_connection.rs
@@ -7,7 +7,7 @@
 use crate::scheduler::{Outcome, Response};
 
 /// The response to requests that fail with their connection.
-const FAILED: Response = Response {
+const FAILED_RESPONSE: Response = Response {
     outcome: Outcome::Failed,
     expired: false,
 };
@@ -147,7 +147,8 @@
 
     fn fail_open_requests(&mut self, socket: &mut BufferedStream, context: &mut Context) -> ConnectionFlow {
         for (stream, open_request) in self.session.fail_all(socket, context) {
-            self.protocol.respond(stream, open_request, &FAILED, socket);
+            self.protocol
+                .respond(stream, open_request, &FAILED_RESPONSE, socket);
         }
         self.protocol.notify_failed(socket);
         self.session.timers.begin_close(context.now);
