--- a/src/frontend/unix_socket/tests.rs
+++ b/src/frontend/unix_socket/tests.rs
@@ -19,7 +19,7 @@
 
 /// In a container each start has the same process id, so that the next one finds what a killed one has left.
 #[test]
-fn what_a_killed_start_has_left_does_not_stop_the_next_one() {
+fn leftovers_of_a_killed_process_do_not_prevent_binding() {
     let folder = TestFolder::new("leftover");
     let path = folder.0.join("socket");
     let leftover = folder.0.join(format!(".socket.{}", std::process::id()));
