--- a/src/frontend/jsonrpc_connection/tests.rs
+++ b/src/frontend/jsonrpc_connection/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_batch_that_is_answered_while_it_is_handled_waits_for_its_last_request() {
+fn a_batch_is_not_complete_before_all_its_requests_are_handled() {
     let mut batches = Batches::default();
     batches.begin(BATCH, 1);
     assert_eq!(batches.add_response(BATCH, json!(1)), None);
