--- a/src/frontend/frame_codec/tests.rs
+++ b/src/frontend/frame_codec/tests.rs
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn types_keep_their_numbers() {
+fn frame_types_have_fixed_wire_numbers() {
     let types = [
         (FrameType::Request, 0),
         (FrameType::Response, 1),
