--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -13,7 +13,7 @@
 /// A poll that returns within this time has not waited.
 const IMMEDIATE: Span = Span::from_millis(1);
 /// A poll that returns this much later than its timeout was not scheduled by the system.
-const OVERSLEPT: Span = Span::from_millis(10);
+const LATE_WAKEUP_THRESHOLD: Span = Span::from_millis(10);
 /// Added to the wait for a timer, so that the system, which rounds, doesn't end it a little early again and
 /// again.
 const TIMER_ROUNDING: Span = Span(50_000);
@@ -78,7 +78,8 @@
     fn note_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
         let returned_at = self.clock.now();
         let waited = returned_at - entered_at;
-        let overslept = asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + OVERSLEPT);
+        let overslept =
+            asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
         self.input_since = if waited < IMMEDIATE {
             // It was there already, and came while the process was busy with the input before.
             self.polled_at
