--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -11,7 +11,7 @@
 /// Interruptions in a row after which a wait ends, so that timers and requests are not delayed further.
 const MAX_INTERRUPTIONS: u32 = 8;
 /// A poll that returns within this time has not waited.
-const IMMEDIATE: Span = Span::from_millis(1);
+const IMMEDIATE_RETURN_THRESHOLD: Span = Span::from_millis(1);
 /// A poll that returns this much later than its timeout was not scheduled by the system.
 const LATE_WAKEUP_THRESHOLD: Span = Span::from_millis(10);
 /// Added to the wait for a timer, so that the system, which rounds, doesn't end it a little early again and
@@ -80,7 +80,7 @@
         let waited = returned_at - entered_at;
         let overslept =
             asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
-        self.input_since = if waited < IMMEDIATE {
+        self.input_since = if waited < IMMEDIATE_RETURN_THRESHOLD {
             // It was there already, and came while the process was busy with the input before.
             self.polled_at
         } else if overslept {
