--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -78,12 +78,12 @@
     fn note_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
         let returned_at = self.clock.now();
         let waited = returned_at - entered_at;
-        let overslept =
+        let woke_late =
             asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
         self.input_since = if waited < IMMEDIATE_RETURN_THRESHOLD {
             // It was there already, and came while the process was busy with the input before.
             self.polled_at
-        } else if overslept {
+        } else if woke_late {
             entered_at
         } else {
             returned_at
