--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -64,7 +64,7 @@
         for _ in 0..MAX_INTERRUPTIONS {
             match self.poll.poll(&mut self.events, timeout) {
                 Ok(()) => {
-                    self.note_poll(entered_at, asked_for);
+                    self.record_poll(entered_at, asked_for);
                     return Ok(true);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => timeout = Some(Duration::ZERO),
@@ -75,7 +75,7 @@
     }
 
     /// Notes since when the input that a poll has reported may have been there.
-    fn note_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
+    fn record_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
         let returned_at = self.clock.now();
         let waited = returned_at - entered_at;
         let woke_late =
