--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -60,11 +60,11 @@
         // A signal interrupts the wait and hides what the sockets have: that is asked for once more, as it
         // goes before the timers and the signal itself.
         let entered_at = self.clock.now();
-        let asked_for = timeout;
+        let requested_timeout = timeout;
         for _ in 0..MAX_INTERRUPTIONS {
             match self.poll.poll(&mut self.events, timeout) {
                 Ok(()) => {
-                    self.record_poll(entered_at, asked_for);
+                    self.record_poll(entered_at, requested_timeout);
                     return Ok(true);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => timeout = Some(Duration::ZERO),
@@ -75,11 +75,11 @@
     }
 
     /// Notes since when the input that a poll has reported may have been there.
-    fn record_poll(&mut self, entered_at: Time, asked_for: Option<Duration>) {
+    fn record_poll(&mut self, entered_at: Time, requested_timeout: Option<Duration>) {
         let returned_at = self.clock.now();
         let waited = returned_at - entered_at;
-        let woke_late =
-            asked_for.is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
+        let woke_late = requested_timeout
+            .is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
         self.input_since = if waited < IMMEDIATE_RETURN_THRESHOLD {
             // It was there already, and came while the process was busy with the input before.
             self.polled_at
