--- a/src/net/reactor/udp_sockets.rs
+++ b/src/net/reactor/udp_sockets.rs
@@ -38,7 +38,7 @@
         loop {
             match self.sockets[id.0].recv_from(buffer) {
                 Ok(datagram) => return Some(datagram),
-                Err(error) if is_passing(&error) => {}
+                Err(error) if is_transient(&error) => {}
                 Err(_) => return None,
             }
         }
@@ -50,7 +50,7 @@
 }
 
 /// Whether further datagrams may wait behind an error: a peer that is down shows as a refused connection.
-fn is_passing(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::ConnectionRefused | io::ErrorKind::Interrupted
