--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -48,7 +48,7 @@
     NotNeeded,
     /// The output that waits must not go out any more.
     #[error("output lapsed")]
-    OutputLapsed,
+    OutputExpired,
     /// The peer leaves too much output unread.
     #[error("output unread")]
     OutputUnread,
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -118,7 +118,7 @@
     fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context<S>) -> ConnectionFlow {
         while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent() > 0 {
             if !self.connection.may_write_rest(context) {
-                self.set_close_cause(CloseCause::OutputLapsed);
+                self.set_close_cause(CloseCause::OutputExpired);
                 return ConnectionFlow::Close;
             }
             match self.stream.flush() {
@@ -166,7 +166,7 @@
         let mut flow = ConnectionFlow::Continue;
         if self.stream.unsent() > 0 {
             if !self.connection.may_write_rest(context) {
-                self.set_close_cause(CloseCause::OutputLapsed);
+                self.set_close_cause(CloseCause::OutputExpired);
                 return Ok(ConnectionFlow::Close);
             }
             if self.stream.flush()? {
