--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -51,7 +51,7 @@
     OutputExpired,
     /// The peer leaves too much output unread.
     #[error("output unread")]
-    OutputUnread,
+    OutputLimitExceeded,
 }
 
 impl CloseCause {
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -194,7 +194,7 @@
         // Memory is bounded, and so is how much of it peers that don't read may use.
         let grew = unsent > unsent_before && unsent > ALWAYS_ALLOWED_UNSENT;
         if grew && self.unsent > self.unsent_limit {
-            managed.set_close_cause(CloseCause::OutputUnread);
+            managed.set_close_cause(CloseCause::OutputLimitExceeded);
             flow = ConnectionFlow::Close;
         }
         if managed.apply_flow(flow) {
