--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -140,7 +140,7 @@
         self.flush_commands(socket, context)
     }
 
-    fn may_write_rest(&self, context: &mut Context) -> bool {
+    fn may_write_remaining(&self, context: &mut Context) -> bool {
         match self.write_queue.writing() {
             Some(Exchange::Attempt(attempt)) => context
                 .shared
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -93,7 +93,7 @@
     fn received(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
     /// Whether output that the system did not take at once may still go out. If not, the connection is closed.
-    fn may_write_rest(&self, _context: &mut Context<S>) -> bool {
+    fn may_write_remaining(&self, _context: &mut Context<S>) -> bool {
         true
     }
 
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -117,7 +117,7 @@
     /// Writes the output at once; a connection may add more whenever all of it has been written.
     fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context<S>) -> ConnectionFlow {
         while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent() > 0 {
-            if !self.connection.may_write_rest(context) {
+            if !self.connection.may_write_remaining(context) {
                 self.set_close_cause(CloseCause::OutputExpired);
                 return ConnectionFlow::Close;
             }
@@ -165,7 +165,7 @@
         }
         let mut flow = ConnectionFlow::Continue;
         if self.stream.unsent() > 0 {
-            if !self.connection.may_write_rest(context) {
+            if !self.connection.may_write_remaining(context) {
                 self.set_close_cause(CloseCause::OutputExpired);
                 return Ok(ConnectionFlow::Close);
             }
