--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -179,7 +179,7 @@
             FailureCause::ConnectionClosed
         };
         let open_exchanges = self.correlations.open_exchanges();
-        for unfinished in self.write_queue.unfinished(open_exchanges, socket.unsent()) {
+        for unfinished in self.write_queue.unfinished(open_exchanges, socket.unsent_bytes()) {
             let error = ExchangeError {
                 progress: unfinished.progress,
                 cause,
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -62,7 +62,7 @@
         socket: &mut BufferedStream,
         context: &mut Context,
     ) -> ConnectionFlow {
-        while socket.is_connected() && socket.unsent() == 0 {
+        while socket.is_connected() && socket.unsent_bytes() == 0 {
             if let Some(Exchange::Attempt(attempt)) = self.write_queue.finish_write() {
                 context.shared.scheduler.attempt_written(context.now, attempt);
             }
--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -71,7 +71,7 @@
     ///
     /// What is left over is looked at again once they have been written; see [`Protocol::flushed`].
     fn handle_lines(&mut self, session: &mut Session, socket: &mut BufferedStream, context: &mut Context) {
-        while socket.unsent() <= MAX_UNSENT_BYTES {
+        while socket.unsent_bytes() <= MAX_UNSENT_BYTES {
             match self.lines.next_line(&mut socket.input) {
                 Some(Ok(line)) => self.handle_line(&line, session, socket, context),
                 Some(Err(error)) => reject_line(error, socket, context),
--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -75,7 +75,7 @@
     }
 
     /// Bytes of output that wait to be written.
-    pub fn unsent(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
@@ -95,7 +95,7 @@
 
     /// Whether nothing is read until a buffer falls below its limit again.
     pub fn reading_paused(&self) -> bool {
-        self.unsent() > self.limits.output || self.input.len() > self.limits.input
+        self.unsent_bytes() > self.limits.output || self.input.len() > self.limits.input
     }
 
     /// Writes as much output as the system takes; true once all of it is written.
@@ -104,7 +104,7 @@
     ///
     /// The stream's error, after which the connection is of no more use.
     pub fn flush(&mut self) -> io::Result<bool> {
-        while self.connected && self.unsent() > 0 {
+        while self.connected && self.unsent_bytes() > 0 {
             match self.stream.write(&self.output[self.written..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => self.written += count,
@@ -113,10 +113,10 @@
                 Err(error) => return Err(error),
             }
         }
-        if self.unsent() == 0 {
+        if self.unsent_bytes() == 0 {
             self.clear_output();
         }
-        Ok(self.unsent() == 0 && self.connected)
+        Ok(self.unsent_bytes() == 0 && self.connected)
     }
 
     fn clear_output(&mut self) {
@@ -190,7 +190,7 @@
     fn wanted_interest(&self) -> Interest {
         if !self.connected {
             Interest::WRITABLE
-        } else if self.unsent() > 0 {
+        } else if self.unsent_bytes() > 0 {
             Interest::READABLE | Interest::WRITABLE
         } else {
             Interest::READABLE
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -149,7 +149,7 @@
             cause = managed.close_cause().to_string(),
             "connection closed"
         );
-        self.unsent = self.unsent.saturating_sub(managed.stream.unsent());
+        self.unsent_bytes = self.unsent_bytes.saturating_sub(managed.stream.unsent_bytes());
         self.timers.reschedule(id, managed.timer, None);
         managed.notify_closed(&mut self.context());
         managed.stream.deregister(self.poll.registry());
@@ -159,7 +159,7 @@
     pub fn has_unsent_output(&self) -> bool {
         self.connections
             .values()
-            .any(|managed| managed.stream.is_connected() && managed.stream.unsent() > 0)
+            .any(|managed| managed.stream.is_connected() && managed.stream.unsent_bytes() > 0)
     }
 
     fn context(&mut self) -> Context<'_, S> {
@@ -187,13 +187,13 @@
         if let Some(since) = managed.input_since {
             context.input_since = context.input_since.min(since);
         }
-        let unsent_before = managed.stream.unsent();
+        let unsent_before = managed.stream.unsent_bytes();
         let mut flow = managed.call(&mut context, callback);
-        let unsent = managed.stream.unsent();
-        self.unsent = (self.unsent + unsent).saturating_sub(unsent_before);
+        let unsent_bytes = managed.stream.unsent_bytes();
+        self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
         // Memory is bounded, and so is how much of it peers that don't read may use.
-        let grew = unsent > unsent_before && unsent > ALWAYS_ALLOWED_UNSENT;
-        if grew && self.unsent > self.unsent_limit {
+        let grew = unsent_bytes > unsent_before && unsent_bytes > ALWAYS_ALLOWED_UNSENT;
+        if grew && self.unsent_bytes > self.unsent_limit {
             managed.set_close_cause(CloseCause::OutputLimitExceeded);
             flow = ConnectionFlow::Close;
         }
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -116,7 +116,7 @@
 
     /// Writes the output at once; a connection may add more whenever all of it has been written.
     fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context<S>) -> ConnectionFlow {
-        while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent() > 0 {
+        while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent_bytes() > 0 {
             if !self.connection.may_write_remaining(context) {
                 self.set_close_cause(CloseCause::OutputExpired);
                 return ConnectionFlow::Close;
@@ -164,7 +164,7 @@
             }
         }
         let mut flow = ConnectionFlow::Continue;
-        if self.stream.unsent() > 0 {
+        if self.stream.unsent_bytes() > 0 {
             if !self.connection.may_write_remaining(context) {
                 self.set_close_cause(CloseCause::OutputExpired);
                 return Ok(ConnectionFlow::Close);
@@ -224,7 +224,7 @@
         if flow == ConnectionFlow::Finish {
             self.finishing = true;
         }
-        if self.finishing && self.stream.unsent() == 0 && !self.write_shut_down {
+        if self.finishing && self.stream.unsent_bytes() == 0 && !self.write_shut_down {
             self.write_shut_down = true;
             self.stream.shutdown_write();
         }
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -70,7 +70,7 @@
     /// What the last poll has reported did not come before this time.
     input_since: Time,
     /// Bytes of output that wait to be written, on all connections together.
-    unsent: usize,
+    unsent_bytes: usize,
     /// Beyond so many bytes of unsent output a connection that adds to it is closed, if its peer reads
     /// nothing.
     pub unsent_limit: usize,
@@ -98,7 +98,7 @@
             last_poll_was_empty: false,
             polled_at: clock.now(),
             input_since: clock.now(),
-            unsent: 0,
+            unsent_bytes: 0,
             unsent_limit: usize::MAX,
         })
     }
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -167,7 +167,7 @@
             socket.enqueue(&vec![0; bytes]);
             ConnectionFlow::Continue
         });
-        (reactor.connection_count(), reactor.unsent > 0)
+        (reactor.connection_count(), reactor.unsent_bytes > 0)
     };
     assert_eq!(enqueue(7 << 20), (1, true));
     assert_eq!(enqueue(7 << 20), (0, false));
