--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -193,7 +193,7 @@
         self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
         // Memory is bounded, and so is how much of it peers that don't read may use.
         let grew = unsent_bytes > unsent_before && unsent_bytes > ALWAYS_ALLOWED_UNSENT;
-        if grew && self.unsent_bytes > self.unsent_limit {
+        if grew && self.unsent_bytes > self.max_unsent_bytes {
             managed.set_close_cause(CloseCause::OutputLimitExceeded);
             flow = ConnectionFlow::Close;
         }
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -73,7 +73,7 @@
     unsent_bytes: usize,
     /// Beyond so many bytes of unsent output a connection that adds to it is closed, if its peer reads
     /// nothing.
-    pub unsent_limit: usize,
+    pub max_unsent_bytes: usize,
 }
 
 impl<S: SharedState + 'static> Reactor<S> {
@@ -99,7 +99,7 @@
             polled_at: clock.now(),
             input_since: clock.now(),
             unsent_bytes: 0,
-            unsent_limit: usize::MAX,
+            max_unsent_bytes: usize::MAX,
         })
     }
 
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -156,7 +156,7 @@
 #[test]
 fn output_beyond_the_limit_closes_the_connection_that_adds_to_it() {
     let mut reactor = reactor();
-    reactor.unsent_limit = 8 << 20;
+    reactor.max_unsent_bytes = 8 << 20;
     let limits = BufferLimits {
         input: 100,
         output: usize::MAX,
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -23,7 +23,7 @@
 pub(super) fn limit_memory(config: &SchedulerConfig, reactor: &mut Reactor) {
     let memory_bytes = config.memory_mb * BYTES_PER_MEGABYTE;
     reactor.shared.scheduler.set_memory_limit(memory_bytes);
-    reactor.unsent_limit = memory_bytes / UNSENT_OUTPUT_DIVISOR;
+    reactor.max_unsent_bytes = memory_bytes / UNSENT_OUTPUT_DIVISOR;
 }
 
 /// How many clients are accepted.
