--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -107,7 +107,7 @@
     fn handle_frame(&mut self, frame: Frame, context: &Context) {
         let mut queue = self.queue.borrow_mut();
         queue.consecutive_failures = 0;
-        if queue.receive(frame, context.input_since) {
+        if queue.receive(frame, context.earliest_input_at) {
             self.silence_deadline = context.now + WATCH_SILENCE_TIMEOUT;
         }
     }
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -142,7 +142,7 @@
             return Err(ProtocolError::StreamReused);
         }
         let origin = session::origin(socket, stream_id(stream));
-        let request = match decode_request(frame.payload, origin, context.input_since) {
+        let request = match decode_request(frame.payload, origin, context.earliest_input_at) {
             Ok(request) => request,
             Err(RequestError::Malformed(error)) => return Err(error.into()),
             Err(RequestError::Invalid(_)) => {
--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -179,7 +179,7 @@
         let request = ClientRequest {
             origin,
             correlation_id: correlation_id.unwrap_or_else(|| generated_correlation_id(origin)),
-            parameters: params.into_request_parameters(context.input_since),
+            parameters: params.into_request_parameters(context.earliest_input_at),
         };
         session.submit(request, call, context);
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -78,7 +78,7 @@
     pub now: Time,
     /// No input that is read in this call came before this time. It is before `now` where the process was busy or
     /// stopped, or where a client had to wait to be accepted: a request's time runs from when it came.
-    pub input_since: Time,
+    pub earliest_input_at: Time,
 }
 
 /// A connection that the reactor calls back with what happens to its stream.
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -68,7 +68,7 @@
 
     fn set_input_since(&mut self, id: ConnectionId, since: Option<Time>) {
         if let Some(managed) = self.connections.get_mut(&id) {
-            managed.input_since = since;
+            managed.earliest_input_at = since;
         }
     }
 
@@ -166,7 +166,7 @@
         Context {
             shared: &mut self.shared,
             now: self.clock.now(),
-            input_since: self.input_since,
+            earliest_input_at: self.earliest_input_at,
         }
     }
 
@@ -179,13 +179,13 @@
         let mut context = Context {
             shared: &mut self.shared,
             now: self.clock.now(),
-            input_since: self.input_since,
+            earliest_input_at: self.earliest_input_at,
         };
         let Some(managed) = self.connections.get_mut(&id) else {
             return;
         };
-        if let Some(since) = managed.input_since {
-            context.input_since = context.input_since.min(since);
+        if let Some(since) = managed.earliest_input_at {
+            context.earliest_input_at = context.earliest_input_at.min(since);
         }
         let unsent_before = managed.stream.unsent_bytes();
         let mut flow = managed.call(&mut context, callback);
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -22,7 +22,7 @@
     pub(super) stream: BufferedStream,
     pub(super) connection: Box<dyn Connection<S>>,
     /// Since when the input that is being read may have waited, if that is longer than the last poll says.
-    pub(super) input_since: Option<Time>,
+    pub(super) earliest_input_at: Option<Time>,
     /// A client is at the other end.
     pub(super) is_client: bool,
     /// The time that the connection's timer is set to.
@@ -42,7 +42,7 @@
 impl<S: SharedState + 'static> ManagedConnection<S> {
     pub(super) fn new(stream: BufferedStream, connection: Box<dyn Connection<S>>) -> ManagedConnection<S> {
         ManagedConnection {
-            input_since: None,
+            earliest_input_at: None,
             is_client: connection.is_client(),
             stream,
             connection,
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -68,7 +68,7 @@
     /// When the last poll returned: it has reported all input that had come until then.
     polled_at: Time,
     /// What the last poll has reported did not come before this time.
-    input_since: Time,
+    earliest_input_at: Time,
     /// Bytes of output that wait to be written, on all connections together.
     unsent_bytes: usize,
     /// Beyond so many bytes of unsent output a connection that adds to it is closed, if its peer reads
@@ -97,7 +97,7 @@
             timers: TimerQueue::default(),
             last_poll_was_empty: false,
             polled_at: clock.now(),
-            input_since: clock.now(),
+            earliest_input_at: clock.now(),
             unsent_bytes: 0,
             max_unsent_bytes: usize::MAX,
         })
--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -80,7 +80,7 @@
         let waited = returned_at - entered_at;
         let woke_late = requested_timeout
             .is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
-        self.input_since = if waited < IMMEDIATE_RETURN_THRESHOLD {
+        self.earliest_input_at = if waited < IMMEDIATE_RETURN_THRESHOLD {
             // It was there already, and came while the process was busy with the input before.
             self.polled_at
         } else if woke_late {
