--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -61,12 +61,12 @@
 
     /// Reads what is there on a connection, which may have waited since this time.
     pub fn read_waiting_input(&mut self, id: ConnectionId, since: Time) {
-        self.set_input_since(id, Some(since));
+        self.set_earliest_input_at(id, Some(since));
         self.call(id, |managed, context| managed.handle_event(true, context));
-        self.set_input_since(id, None);
+        self.set_earliest_input_at(id, None);
     }
 
-    fn set_input_since(&mut self, id: ConnectionId, since: Option<Time>) {
+    fn set_earliest_input_at(&mut self, id: ConnectionId, since: Option<Time>) {
         if let Some(managed) = self.connections.get_mut(&id) {
             managed.earliest_input_at = since;
         }
