--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -36,7 +36,7 @@
     /// Why the connection is to be closed, where neither its peer nor itself has ended it.
     close_cause: Option<CloseCause>,
     /// When the system is to be asked once more to report the stream's events, after it has refused.
-    registers_at: Option<Time>,
+    registration_retry_at: Option<Time>,
 }
 
 impl<S: SharedState + 'static> ManagedConnection<S> {
@@ -51,7 +51,7 @@
             write_shut_down: false,
             discarded: 0,
             close_cause: None,
-            registers_at: None,
+            registration_retry_at: None,
         }
     }
 
@@ -60,7 +60,7 @@
         self.connection
             .deadline()
             .into_iter()
-            .chain(self.registers_at)
+            .chain(self.registration_retry_at)
             .min()
     }
 
@@ -233,7 +233,7 @@
 
     /// Registers for the events that the stream waits for. If the system refuses, it is asked again after a pause.
     pub(super) fn register(&mut self, registry: &Registry, context: &mut Context<S>) {
-        self.registers_at = match self.stream.register(registry) {
+        self.registration_retry_at = match self.stream.register(registry) {
             Ok(()) => None,
             Err(error) => {
                 context.shared.registration_failed();
