--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -11,7 +11,7 @@
 use tracing::debug;
 
 /// Bytes of unsent output that a connection may always have, however much all of them have together.
-const ALWAYS_ALLOWED_UNSENT: usize = 64 << 10;
+const GUARANTEED_UNSENT_BYTES: usize = 64 << 10;
 
 impl<S: SharedState + 'static> Reactor<S> {
     /// Adds a connection whose stream is connected; its id, or none where it closed at once.
@@ -192,7 +192,7 @@
         let unsent_bytes = managed.stream.unsent_bytes();
         self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
         // Memory is bounded, and so is how much of it peers that don't read may use.
-        let grew = unsent_bytes > unsent_before && unsent_bytes > ALWAYS_ALLOWED_UNSENT;
+        let grew = unsent_bytes > unsent_before && unsent_bytes > GUARANTEED_UNSENT_BYTES;
         if grew && self.unsent_bytes > self.max_unsent_bytes {
             managed.set_close_cause(CloseCause::OutputLimitExceeded);
             flow = ConnectionFlow::Close;
