--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -13,7 +13,7 @@
 const MAX_READ_PER_TURN: usize = 256 << 10;
 /// Bytes that are still read, and discarded, from a connection that is closing. A peer that goes on beyond
 /// them is cut off, so that it doesn't keep the processor busy.
-const MAX_DISCARDED_INPUT: usize = 1 << 20;
+const MAX_DISCARDED_INPUT_BYTES: usize = 1 << 20;
 /// Pause before the system is asked once more to report a connection's events, after it has refused.
 const REGISTRATION_RETRY_DELAY: Span = Span::from_millis(20);
 
@@ -194,7 +194,7 @@
             read_in_turn += added;
             if self.finishing {
                 self.discard_input();
-                if self.discarded > MAX_DISCARDED_INPUT {
+                if self.discarded > MAX_DISCARDED_INPUT_BYTES {
                     return Ok(ConnectionFlow::Close);
                 }
             } else if added > 0 || self.stream.input_ended {
