--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -10,7 +10,7 @@
 
 /// Bytes read from one connection in one turn. A peer that sends at full speed must not keep the others
 /// waiting.
-const MAX_READ_PER_TURN: usize = 256 << 10;
+const MAX_READ_BYTES_PER_EVENT: usize = 256 << 10;
 /// Bytes that are still read, and discarded, from a connection that is closing. A peer that goes on beyond
 /// them is cut off, so that it doesn't keep the processor busy.
 const MAX_DISCARDED_INPUT_BYTES: usize = 1 << 20;
@@ -203,7 +203,7 @@
             if socket_is_empty || flow != ConnectionFlow::Continue || self.stream.reading_paused() {
                 return Ok(flow);
             }
-            if read_in_turn > MAX_READ_PER_TURN {
+            if read_in_turn > MAX_READ_BYTES_PER_EVENT {
                 self.stream.leave_input_in_socket();
                 return Ok(flow);
             }
