--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -186,12 +186,12 @@
         mut flow: ConnectionFlow,
         context: &mut Context<S>,
     ) -> io::Result<ConnectionFlow> {
-        let mut read_in_turn = 0;
+        let mut read_bytes = 0;
         loop {
             let buffered = self.stream.input.len();
             let socket_is_empty = self.stream.fill()?;
             let added = self.stream.input.len() - buffered;
-            read_in_turn += added;
+            read_bytes += added;
             if self.finishing {
                 self.discard_input();
                 if self.discarded > MAX_DISCARDED_INPUT_BYTES {
@@ -203,7 +203,7 @@
             if socket_is_empty || flow != ConnectionFlow::Continue || self.stream.reading_paused() {
                 return Ok(flow);
             }
-            if read_in_turn > MAX_READ_BYTES_PER_EVENT {
+            if read_bytes > MAX_READ_BYTES_PER_EVENT {
                 self.stream.leave_input_in_socket();
                 return Ok(flow);
             }
