--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -9,7 +9,7 @@
 mod tests;
 
 /// Bytes read from a socket at a time; also the free capacity that a buffer may keep.
-const READ_CHUNK: usize = 16 << 10;
+const READ_CHUNK_BYTES: usize = 16 << 10;
 /// Capacity in bytes that an emptied output buffer keeps.
 const RETAINED_OUTPUT_CAPACITY: usize = 4096;
 
@@ -88,7 +88,7 @@
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
         // Hundreds of connections must not each keep the capacity of their largest message.
-        if self.input.capacity() > READ_CHUNK + 2 * self.input.len() {
+        if self.input.capacity() > READ_CHUNK_BYTES + 2 * self.input.len() {
             self.input.shrink_to(self.input.len());
         }
     }
@@ -122,7 +122,7 @@
     fn clear_output(&mut self) {
         self.output.clear();
         self.written = 0;
-        if self.output.capacity() > READ_CHUNK {
+        if self.output.capacity() > READ_CHUNK_BYTES {
             self.output.shrink_to(RETAINED_OUTPUT_CAPACITY);
         }
     }
@@ -140,7 +140,7 @@
 
     /// Reads until the socket is empty or a buffer's limit is passed; true if it is empty.
     pub(super) fn fill(&mut self) -> io::Result<bool> {
-        let mut chunk = [0u8; READ_CHUNK];
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         let buffered_before = self.input.len();
         loop {
             if self.input_ended {
