--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -11,7 +11,7 @@
 /// Bytes read from a socket at a time; also the free capacity that a buffer may keep.
 const READ_CHUNK_BYTES: usize = 16 << 10;
 /// Capacity in bytes that an emptied output buffer keeps.
-const RETAINED_OUTPUT_CAPACITY: usize = 4096;
+const RETAINED_OUTPUT_BYTES: usize = 4096;
 
 /// Sizes in bytes beyond which a connection is not read from until they are fallen below again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -123,7 +123,7 @@
         self.output.clear();
         self.written = 0;
         if self.output.capacity() > READ_CHUNK_BYTES {
-            self.output.shrink_to(RETAINED_OUTPUT_CAPACITY);
+            self.output.shrink_to(RETAINED_OUTPUT_BYTES);
         }
     }
 
