--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -14,7 +14,7 @@
 /// Delay before clients are accepted again after the system could not accept one.
 const RETRY_DELAY: Span = Span::from_millis(50);
 /// Failures in a row after which a turn of accepting ends.
-const MAX_FAILURES: u32 = 8;
+const MAX_CONSECUTIVE_FAILURES: u32 = 8;
 
 /// Accepts clients from the listeners.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
                 }
                 // What fails now and then, or concerns one client alone, must not cost each client that waits a pause;
                 // nor may it keep the event loop here.
-                Err(_) if failures < MAX_FAILURES => failures += 1,
+                Err(_) if failures < MAX_CONSECUTIVE_FAILURES => failures += 1,
                 Err(error) => {
                     return self.schedule_retry(&error.to_string(), reactor);
                 }
