--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -57,7 +57,7 @@
 pub(super) struct Shutdown {
     began_at: Time,
     /// When the program may be killed at the earliest.
-    killed_at: Time,
+    earliest_kill_at: Time,
     phase: ShutdownPhase,
     /// Since when no request has been open; none while one is.
     drained_at: Option<Time>,
@@ -68,7 +68,7 @@
     pub(super) fn new(now: Time, longest_deadline: Span) -> Shutdown {
         Shutdown {
             began_at: now,
-            killed_at: now + longest_deadline.min(MAX_LONGEST_DEADLINE) + KILL_DELAY,
+            earliest_kill_at: now + longest_deadline.min(MAX_LONGEST_DEADLINE) + KILL_DELAY,
             phase: ShutdownPhase::LateConnections,
             drained_at: None,
         }
@@ -124,14 +124,14 @@
 
     /// When requests that come from the late notice on have to have ended.
     pub(super) fn late_requests_end(&self) -> Time {
-        self.killed_at - LATE_REQUESTS_MARGIN
+        self.earliest_kill_at - LATE_REQUESTS_MARGIN
     }
 
     /// When writing is given up that begins then. A client that sends without a pause must not hold the end up beyond
     /// the kill.
     fn flush_deadline(&self, begins_at: Time) -> Time {
         let deadline = begins_at + FLUSH_TIMEOUT;
-        if begins_at < self.killed_at {
+        if begins_at < self.earliest_kill_at {
             deadline.min(self.last_exit_at()).max(begins_at)
         } else {
             deadline
@@ -147,6 +147,6 @@
     }
 
     fn last_exit_at(&self) -> Time {
-        self.killed_at - EXIT_MARGIN
+        self.earliest_kill_at - EXIT_MARGIN
     }
 }
