--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -8,7 +8,7 @@
 
 /// Time from the beginning until clients are notified again: those that have connected since. The answer to a request
 /// that comes later is owed even if the process is killed (page PROTOCOL).
-const LATE_NOTICE_DELAY: Span = Span::from_millis(700);
+const SECOND_NOTICE_DELAY: Span = Span::from_millis(700);
 /// Time from the beginning during which clients may still come; the program ends no sooner, unless it may be killed
 /// before.
 const GRACE_PERIOD: Span = Span::from_millis(1_200);
@@ -139,7 +139,7 @@
     }
 
     fn late_notice_at(&self) -> Time {
-        (self.began_at + LATE_NOTICE_DELAY).min(self.last_exit_at())
+        (self.began_at + SECOND_NOTICE_DELAY).min(self.last_exit_at())
     }
 
     fn grace_end(&self) -> Time {
