--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -89,7 +89,7 @@
     fn next_phase(&self, now: Time, activity: Activity) -> Option<ShutdownPhase> {
         match self.phase {
             ShutdownPhase::LateConnections => {
-                (now >= self.late_notice_at()).then_some(ShutdownPhase::LateRequests)
+                (now >= self.second_notice_at()).then_some(ShutdownPhase::LateRequests)
             }
             ShutdownPhase::LateRequests => (now >= self.grace_end()).then_some(ShutdownPhase::Draining),
             ShutdownPhase::Draining => {
@@ -114,7 +114,7 @@
     /// When to advance although nothing happens on the connections.
     pub(super) fn next_timer(&self, now: Time, has_unsent_output: bool) -> Option<Time> {
         match self.phase {
-            ShutdownPhase::LateConnections => Some(self.late_notice_at()),
+            ShutdownPhase::LateConnections => Some(self.second_notice_at()),
             ShutdownPhase::LateRequests => Some(self.grace_end()),
             ShutdownPhase::Draining => None,
             ShutdownPhase::Flushing { deadline } if has_unsent_output => Some(deadline),
@@ -138,7 +138,7 @@
         }
     }
 
-    fn late_notice_at(&self) -> Time {
+    fn second_notice_at(&self) -> Time {
         (self.began_at + SECOND_NOTICE_DELAY).min(self.last_exit_at())
     }
 
