--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -78,7 +78,7 @@
 impl Server {
     fn serve(&mut self) -> Result<(), ServerError> {
         self.begin_serving();
-        while !self.turn()? {}
+        while !self.run_iteration()? {}
         self.print_counters();
         info!(name = %self.config.name, "ended");
         Ok(())
@@ -98,7 +98,7 @@
     }
 
     /// One turn of the event loop; true once a shutdown is complete.
-    fn turn(&mut self) -> Result<bool, ServerError> {
+    fn run_iteration(&mut self) -> Result<bool, ServerError> {
         let deadline = self.next_timer();
         let events = self.reactor.poll(deadline).map_err(ServerError::Poll)?;
         for event in events {
