--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -2,7 +2,7 @@
 //! written before the program ends. `shutdown_phases` says when each step is due.
 
 use super::Server;
-use super::shutdown_phases::{Activity, Shutdown, ShutdownPhase};
+use super::shutdown_phases::{PendingWork, Shutdown, ShutdownPhase};
 use crate::frontend;
 use crate::model::{Span, Time};
 use crate::vrrp::Event;
@@ -71,7 +71,7 @@
 
     fn enter_next_shutdown_phase(&mut self, now: Time) -> Option<ShutdownPhase> {
         let shutdown = self.shutdown.as_mut()?;
-        let activity = Activity {
+        let activity = PendingWork {
             open_requests: self.reactor.shared.scheduler.open_requests(),
             has_unsent_output: self.reactor.has_unsent_output(),
             last_poll_was_empty: self.reactor.last_poll_was_empty(),
--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -43,7 +43,7 @@
 
 /// What the server still has to do, as far as a shutdown depends on it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Activity {
+pub(super) struct PendingWork {
     /// Requests that have no final response yet.
     pub(super) open_requests: usize,
     /// Output waits to be written on some connection.
@@ -76,7 +76,7 @@
 
     /// Moves on by one phase if the present one has ended, and gives the phase that was entered. To be called
     /// until it gives none.
-    pub(super) fn advance(&mut self, now: Time, activity: Activity) -> Option<ShutdownPhase> {
+    pub(super) fn advance(&mut self, now: Time, activity: PendingWork) -> Option<ShutdownPhase> {
         self.drained_at = match activity.open_requests {
             0 => self.drained_at.or(Some(now)),
             _ => None,
@@ -86,7 +86,7 @@
     }
 
     /// What ends each phase, and which one follows.
-    fn next_phase(&self, now: Time, activity: Activity) -> Option<ShutdownPhase> {
+    fn next_phase(&self, now: Time, activity: PendingWork) -> Option<ShutdownPhase> {
         match self.phase {
             ShutdownPhase::LateConnections => {
                 (now >= self.second_notice_at()).then_some(ShutdownPhase::LateRequests)
--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -1,24 +1,24 @@
 //! The phases of a graceful shutdown.
 
 use crate::model::{Span, Time};
-use crate::server::shutdown_phases::{Activity, Shutdown, ShutdownPhase};
+use crate::server::shutdown_phases::{PendingWork, Shutdown, ShutdownPhase};
 
 const BEGAN_AT: Time = Time(1_000_000_000);
 const LONGEST_DEADLINE: Span = Span::from_millis(3_000);
-const IDLE: Activity = Activity {
+const IDLE: PendingWork = PendingWork {
     open_requests: 0,
     has_unsent_output: false,
     last_poll_was_empty: true,
 };
-const ONE_REQUEST: Activity = Activity {
+const ONE_REQUEST: PendingWork = PendingWork {
     open_requests: 1,
     ..IDLE
 };
-const UNSENT_OUTPUT: Activity = Activity {
+const UNSENT_OUTPUT: PendingWork = PendingWork {
     has_unsent_output: true,
     ..IDLE
 };
-const BUSY_SOCKETS: Activity = Activity {
+const BUSY_SOCKETS: PendingWork = PendingWork {
     last_poll_was_empty: false,
     ..IDLE
 };
@@ -35,7 +35,7 @@
 }
 
 /// Advances until nothing changes; the phases entered.
-fn advance(shutdown: &mut Shutdown, milliseconds: u64, activity: Activity) -> Vec<ShutdownPhase> {
+fn advance(shutdown: &mut Shutdown, milliseconds: u64, activity: PendingWork) -> Vec<ShutdownPhase> {
     std::iter::from_fn(|| shutdown.advance(after(milliseconds), activity)).collect()
 }
 
