--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -71,11 +71,11 @@
 
     fn enter_next_shutdown_phase(&mut self, now: Time) -> Option<ShutdownPhase> {
         let shutdown = self.shutdown.as_mut()?;
-        let activity = PendingWork {
+        let pending_work = PendingWork {
             open_requests: self.reactor.shared.scheduler.open_requests(),
             has_unsent_output: self.reactor.has_unsent_output(),
             last_poll_was_empty: self.reactor.last_poll_was_empty(),
         };
-        shutdown.advance(now, activity)
+        shutdown.advance(now, pending_work)
     }
 }
--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -76,17 +76,17 @@
 
     /// Moves on by one phase if the present one has ended, and gives the phase that was entered. To be called
     /// until it gives none.
-    pub(super) fn advance(&mut self, now: Time, activity: PendingWork) -> Option<ShutdownPhase> {
-        self.drained_at = match activity.open_requests {
+    pub(super) fn advance(&mut self, now: Time, pending_work: PendingWork) -> Option<ShutdownPhase> {
+        self.drained_at = match pending_work.open_requests {
             0 => self.drained_at.or(Some(now)),
             _ => None,
         };
-        self.phase = self.next_phase(now, activity)?;
+        self.phase = self.next_phase(now, pending_work)?;
         Some(self.phase)
     }
 
     /// What ends each phase, and which one follows.
-    fn next_phase(&self, now: Time, activity: PendingWork) -> Option<ShutdownPhase> {
+    fn next_phase(&self, now: Time, pending_work: PendingWork) -> Option<ShutdownPhase> {
         match self.phase {
             ShutdownPhase::LateConnections => {
                 (now >= self.second_notice_at()).then_some(ShutdownPhase::LateRequests)
@@ -104,7 +104,7 @@
                 // A request may wait unread behind responses that have just been written. Closing its
                 // connection would also take from the client what it has not read yet, so the sockets are
                 // polled once more.
-                let is_flushed = !activity.has_unsent_output && activity.last_poll_was_empty;
+                let is_flushed = !pending_work.has_unsent_output && pending_work.last_poll_was_empty;
                 (is_flushed || now >= deadline).then_some(ShutdownPhase::Complete)
             }
             ShutdownPhase::Complete => None,
--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -35,8 +35,8 @@
 }
 
 /// Advances until nothing changes; the phases entered.
-fn advance(shutdown: &mut Shutdown, milliseconds: u64, activity: PendingWork) -> Vec<ShutdownPhase> {
-    std::iter::from_fn(|| shutdown.advance(after(milliseconds), activity)).collect()
+fn advance(shutdown: &mut Shutdown, milliseconds: u64, pending_work: PendingWork) -> Vec<ShutdownPhase> {
+    std::iter::from_fn(|| shutdown.advance(after(milliseconds), pending_work)).collect()
 }
 
 #[test]
