--- a/src/server/jsonrpc_listener.rs
+++ b/src/server/jsonrpc_listener.rs
@@ -58,16 +58,16 @@
     /// Those of [`JsonRpcListener::bind`], or the system's where the socket's file can't be given another
     /// mode.
     pub(super) fn prepare(
-        present: Option<&JsonRpcListener>,
+        current: Option<&JsonRpcListener>,
         config: Option<&JsonRpcConfig>,
         reactor: &mut Reactor,
     ) -> io::Result<JsonRpcUpdate> {
         let Some(config) = config else {
             return Ok(JsonRpcUpdate::Replace(None));
         };
-        match present {
-            Some(present) if present.config.socket == config.socket => {
-                present.socket_file.set_mode(config.mode)?;
+        match current {
+            Some(current) if current.config.socket == config.socket => {
+                current.socket_file.set_mode(config.mode)?;
                 Ok(JsonRpcUpdate::Reconfigure(config.clone()))
             }
             _ => {
@@ -78,15 +78,15 @@
     }
 
     /// Applies this update to the listener in use.
-    pub(super) fn apply(self, present: &mut Option<JsonRpcListener>, reactor: &mut Reactor) {
+    pub(super) fn apply(self, current: &mut Option<JsonRpcListener>, reactor: &mut Reactor) {
         match self {
             JsonRpcUpdate::Reconfigure(config) => {
-                if let Some(present) = present {
-                    present.config = config;
+                if let Some(current) = current {
+                    current.config = config;
                 }
             }
             JsonRpcUpdate::Replace(replacement) => {
-                if let Some(previous) = std::mem::replace(present, replacement) {
+                if let Some(previous) = std::mem::replace(current, replacement) {
                     reactor.close_listener(previous.listener);
                 }
             }
--- a/src/server/startup_settings.rs
+++ b/src/server/startup_settings.rs
@@ -50,14 +50,14 @@
     }
 
     fn differs(&self, setting: StartupSetting, requested: &StartupSettings) -> bool {
-        let present = self.scheduler;
+        let current = self.scheduler;
         let new = requested.scheduler;
         match setting {
             // Port 0 leaves the choice to the system, which has made it.
-            StartupSetting::Listen => new.listen.port() != 0 && new.listen != present.listen,
-            StartupSetting::Name => new.name != present.name,
-            StartupSetting::Zones => new.site.zones != present.site.zones,
-            StartupSetting::Kinds => new.site.kinds != present.site.kinds,
+            StartupSetting::Listen => new.listen.port() != 0 && new.listen != current.listen,
+            StartupSetting::Name => new.name != current.name,
+            StartupSetting::Zones => new.site.zones != current.site.zones,
+            StartupSetting::Kinds => new.site.kinds != current.site.kinds,
             StartupSetting::Vrrp => requested.vrrp != self.vrrp,
         }
     }
--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -42,11 +42,11 @@
 fn kept(requested: &StartupSettings) -> Vec<&'static str> {
     let scheduler = default_config("127.0.0.1:80");
     let vrrp = vrrp_config(100);
-    let present = StartupSettings {
+    let current = StartupSettings {
         scheduler: &scheduler,
         vrrp: Some(&vrrp),
     };
-    let differing = present.differing_from(requested);
+    let differing = current.differing_from(requested);
     differing.into_iter().map(StartupSetting::name).collect()
 }
 
