--- a/src/logging/line_writer.rs
+++ b/src/logging/line_writer.rs
@@ -11,7 +11,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Lines that may wait to be written.
-const QUEUE_LINES: usize = 1024;
+const QUEUE_CAPACITY_LINES: usize = 1024;
 /// Bytes kept of a line: its rest is cut off, so that the queue's memory is bounded.
 const MAX_LINE_BYTES: usize = 4096;
 /// Pause between two looks at a queue that is full while the log closes.
@@ -45,7 +45,7 @@
 impl LineWriter {
     /// Starts the thread. If the system has none to give, every line counts as dropped.
     pub(super) fn to_standard_error() -> LineWriter {
-        let (sender, receiver) = sync_channel(QUEUE_LINES);
+        let (sender, receiver) = sync_channel(QUEUE_CAPACITY_LINES);
         let _ = thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || write_lines(&receiver));
