--- a/src/logging/line_writer.rs
+++ b/src/logging/line_writer.rs
@@ -73,7 +73,7 @@
 
 impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.sender.try_send(Message::Line(bounded(line))).is_err() {
+        if self.sender.try_send(Message::Line(truncated(line))).is_err() {
             LINES_DROPPED.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
@@ -93,7 +93,7 @@
 }
 
 /// A line without what exceeds the bound.
-fn bounded(line: &[u8]) -> Vec<u8> {
+fn truncated(line: &[u8]) -> Vec<u8> {
     if line.len() <= MAX_LINE_BYTES {
         return line.to_vec();
     }
