--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -39,7 +39,7 @@
 }
 
 /// The names of the settings in which a requested configuration differs from the one in use.
-fn kept(requested: &StartupSettings) -> Vec<&'static str> {
+fn differing_settings(requested: &StartupSettings) -> Vec<&'static str> {
     let scheduler = default_config("127.0.0.1:80");
     let vrrp = vrrp_config(100);
     let current = StartupSettings {
@@ -56,7 +56,7 @@
         scheduler: &default_config("127.0.0.1:80"),
         vrrp: Some(&vrrp_config(100)),
     };
-    assert!(kept(&requested).is_empty());
+    assert!(differing_settings(&requested).is_empty());
 }
 
 #[test]
@@ -65,7 +65,7 @@
         scheduler: &default_config(ANY_PORT),
         vrrp: Some(&vrrp_config(100)),
     };
-    assert!(kept(&requested).is_empty());
+    assert!(differing_settings(&requested).is_empty());
 }
 
 #[test]
@@ -74,7 +74,10 @@
         scheduler: &scheduler_config("127.0.0.1:81", "n2", json!(["a", "b"]), json!([])),
         vrrp: Some(&vrrp_config(101)),
     };
-    assert_eq!(kept(&requested), ["listen", "name", "zones", "kinds", "vrrp"]);
+    assert_eq!(
+        differing_settings(&requested),
+        ["listen", "name", "zones", "kinds", "vrrp"]
+    );
 }
 
 #[test]
@@ -83,5 +86,5 @@
         scheduler: &default_config("127.0.0.1:80"),
         vrrp: None,
     };
-    assert_eq!(kept(&requested), ["vrrp"]);
+    assert_eq!(differing_settings(&requested), ["vrrp"]);
 }
