--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -8,12 +8,12 @@
 
 /// Shared state that only counts what the reactor reports.
 #[derive(Default)]
-struct Reports {
+struct ReportCounts {
     panics: u32,
     failed_registrations: u32,
 }
 
-impl SharedState for Reports {
+impl SharedState for ReportCounts {
     fn panic_caught(&mut self) {
         self.panics += 1;
     }
@@ -26,19 +26,28 @@
 /// Echoes its input, and panics at an `!`.
 struct PanickingEcho;
 
-impl Connection<Reports> for PanickingEcho {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+impl Connection<ReportCounts> for PanickingEcho {
+    fn opened(
+        &mut self,
+        _socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+    fn received(
+        &mut self,
+        socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         let bytes = std::mem::take(&mut socket.input);
         assert!(!bytes.contains(&b'!'), "as the test wants");
         socket.enqueue(&bytes);
         ConnectionFlow::Continue
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<ReportCounts>) {
+    }
 }
 
 /// Echoes its input, is idle from its start on, and closes when its time has come unless input has come before.
@@ -46,12 +55,20 @@
     closes_at: Option<Time>,
 }
 
-impl Connection<Reports> for ClosingEcho {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+impl Connection<ReportCounts> for ClosingEcho {
+    fn opened(
+        &mut self,
+        _socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+    fn received(
+        &mut self,
+        socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         let bytes = std::mem::take(&mut socket.input);
         socket.enqueue(&bytes);
         self.closes_at = None;
@@ -61,7 +78,7 @@
     fn timer_expired(
         &mut self,
         _socket: &mut BufferedStream,
-        context: &mut Context<Reports>,
+        context: &mut Context<ReportCounts>,
     ) -> ConnectionFlow {
         match self.closes_at {
             Some(time) if time <= context.now => ConnectionFlow::Close,
@@ -73,7 +90,8 @@
         self.closes_at
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<ReportCounts>) {
+    }
 
     fn idle_since(&self) -> Option<Time> {
         self.closes_at
@@ -83,16 +101,25 @@
 /// A client's connection that panics at any input, with something left to say to its client.
 struct PanickingClient;
 
-impl Connection<Reports> for PanickingClient {
-    fn opened(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+impl Connection<ReportCounts> for PanickingClient {
+    fn opened(
+        &mut self,
+        _socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    fn received(&mut self, _socket: &mut BufferedStream, _context: &mut Context<Reports>) -> ConnectionFlow {
+    fn received(
+        &mut self,
+        _socket: &mut BufferedStream,
+        _context: &mut Context<ReportCounts>,
+    ) -> ConnectionFlow {
         panic!("as the test wants");
     }
 
-    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<Reports>) {}
+    fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<ReportCounts>) {
+    }
 
     fn is_client(&self) -> bool {
         true
@@ -101,21 +128,21 @@
     fn fail_open_requests(
         &mut self,
         socket: &mut BufferedStream,
-        _context: &mut Context<Reports>,
+        _context: &mut Context<ReportCounts>,
     ) -> ConnectionFlow {
         socket.enqueue(b"failed");
         ConnectionFlow::Finish
     }
 }
 
-fn reactor() -> Reactor<Reports> {
-    Reactor::new(SystemClock::new(), Reports::default()).unwrap()
+fn reactor() -> Reactor<ReportCounts> {
+    Reactor::new(SystemClock::new(), ReportCounts::default()).unwrap()
 }
 
 /// Adds a connection; its id, and the other end of its stream.
 fn add(
-    connection: impl Connection<Reports>,
-    reactor: &mut Reactor<Reports>,
+    connection: impl Connection<ReportCounts>,
+    reactor: &mut Reactor<ReportCounts>,
     limits: BufferLimits,
 ) -> (ConnectionId, UnixStream) {
     let (near, far) = UnixStream::pair().unwrap();
@@ -125,7 +152,7 @@
     (id.unwrap(), far)
 }
 
-fn add_echo(reactor: &mut Reactor<Reports>, limits: BufferLimits) -> (ConnectionId, UnixStream) {
+fn add_echo(reactor: &mut Reactor<ReportCounts>, limits: BufferLimits) -> (ConnectionId, UnixStream) {
     add(PanickingEcho, reactor, limits)
 }
 
