--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_unchanged_configuration_keeps_nothing_back() {
+fn an_unchanged_configuration_has_no_differing_setting() {
     let requested = StartupSettings {
         scheduler: &default_config("127.0.0.1:80"),
         vrrp: Some(&vrrp_config(100)),
