--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_virtual_router_that_is_taken_out_is_kept() {
+fn a_removed_virtual_router_is_kept() {
     let requested = StartupSettings {
         scheduler: &default_config("127.0.0.1:80"),
         vrrp: None,
