--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_setting_that_needs_a_start_is_kept_and_named() {
+fn every_changed_startup_setting_is_kept_and_named() {
     let requested = StartupSettings {
         scheduler: &scheduler_config("127.0.0.1:81", "n2", json!(["a", "b"]), json!([])),
         vrrp: Some(&vrrp_config(101)),
