--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_late_look_passes_through_every_phase() {
+fn a_late_advance_enters_every_phase_in_order() {
     let phases = [
         ShutdownPhase::LateRequests,
         ShutdownPhase::Draining,
