--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn sockets_with_input_are_looked_at_once_more() {
+fn sockets_with_input_are_polled_once_more() {
     let mut shutdown = Shutdown::new(BEGAN_AT, LONGEST_DEADLINE);
     advance(&mut shutdown, 1_200, BUSY_SOCKETS);
     assert_eq!(advance(&mut shutdown, 1_201, BUSY_SOCKETS), []);
