--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn a_client_has_its_responses_before_a_panic_ends_its_connection() {
+fn open_requests_are_failed_before_a_panic_closes_their_connection() {
     let mut reactor = reactor();
     let limits = BufferLimits {
         input: 100,
