--- a/tests/start.rs
+++ b/tests/start.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_program_says_why_it_does_not_start() {
+fn startup_errors_are_reported_on_standard_error() {
     const USAGE: &str = "function-scheduler: usage: function-scheduler [--operator FILE]\n";
     const NOT_FOUND: &str = "No such file or directory (os error 2)";
     for arguments in [
