--- a/crates/fault-soak/src/environment/health.rs
+++ b/crates/fault-soak/src/environment/health.rs
@@ -13,7 +13,7 @@
 
 impl Environment {
     /// Checks that schedulers without clients hold few descriptors and threads, and watch the endpoint list.
-    pub(crate) fn check_schedulers_at_rest(&self) {
+    pub(crate) fn check_idle_schedulers(&self) {
         for scheduler in self.running_schedulers() {
             self.check_resources(scheduler);
         }
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -47,7 +47,7 @@
     let clients_stopped_at = recorder.now();
     environment.stop_clients();
     sleep(longest_deadline(seed) + LAST_RESPONSES_MARGIN).await;
-    environment.check_schedulers_at_rest();
+    environment.check_idle_schedulers();
     let ended_at = recorder.now();
     environment.terminate_schedulers().await;
 
