--- a/crates/fault-soak/src/environment/mod.rs
+++ b/crates/fault-soak/src/environment/mod.rs
@@ -75,7 +75,7 @@
         recorder: &Arc<Recorder>,
     ) -> Result<Environment> {
         let discovery = Discovery::listen(size.schedulers).await?;
-        let workers = listen_as_workers(size.workers, &discovery, recorder).await?;
+        let workers = start_workers(size.workers, &discovery, recorder).await?;
         let mut schedulers = Vec::new();
         for index in 0..size.schedulers {
             let address = free_address(seed, index)?;
@@ -188,7 +188,7 @@
 }
 
 /// Starts the workers, each behind a proxy, and publishes them as ready.
-async fn listen_as_workers(
+async fn start_workers(
     count: usize,
     discovery: &Discovery,
     recorder: &Arc<Recorder>,
