--- a/crates/fault-soak/src/environment/discovery/mod.rs
+++ b/crates/fault-soak/src/environment/discovery/mod.rs
@@ -18,14 +18,14 @@
 use tokio::net::TcpListener;
 
 /// Addresses of the service for one scheduler.
-const ADDRESSES: usize = 2;
+const ADDRESSES_PER_SCHEDULER: usize = 2;
 
 /// The discovery service.
 #[derive(Debug)]
 pub(crate) struct Discovery {
     pub(crate) switches: DiscoverySwitches,
     /// The addresses for each scheduler: from the address the service knows whose watch it serves.
-    addresses: Vec<[SocketAddr; ADDRESSES]>,
+    addresses: Vec<[SocketAddr; ADDRESSES_PER_SCHEDULER]>,
     /// Watches of each scheduler, at either address.
     watch_counts: Vec<AtomicUsize>,
     /// Index of the active address.
