--- a/crates/fault-soak/src/environment/discovery/watch.rs
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -14,7 +14,7 @@
 /// How often a watch looks for new events and at the switches.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Shortest pause between two looks, if the scheduler sends something.
-const MIN_PAUSE: Duration = Duration::from_millis(1);
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// How long the watches at the former address stay open after the switch to the other.
 const FORMER_ADDRESS_LINGER: Duration = Duration::from_millis(1_500);
 
@@ -65,6 +65,6 @@
         Ok(Err(error)) => return Err(error),
         Ok(Ok(_)) | Err(_) => {}
     }
-    sleep(MIN_PAUSE).await;
+    sleep(MIN_POLL_INTERVAL).await;
     Ok(())
 }
