--- a/crates/fault-soak/src/environment/worker/mod.rs
+++ b/crates/fault-soak/src/environment/worker/mod.rs
@@ -26,7 +26,7 @@
 /// How long after a response its duplicate follows.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(5);
 /// How long after its end a fault may still delay what is sent.
-const FAULT_AFTER_EFFECT: Duration = Duration::from_secs(3);
+const FAULT_SETTLE_TIME: Duration = Duration::from_secs(3);
 /// How many of a hundred requests get an error while the worker responds with errors.
 const ERRORS_PERCENT: u8 = 60;
 /// How many of a hundred responses are corrupt or sent twice while the worker does that.
@@ -104,7 +104,7 @@
         ];
         !delaying
             .iter()
-            .any(|switch| switch.was_on(now, FAULT_AFTER_EFFECT))
+            .any(|switch| switch.was_on(now, FAULT_SETTLE_TIME))
     }
 
     fn begin_run(self: Arc<Worker>, run: RunCommand, output: Output) {
