--- a/crates/fault-soak/src/environment/listener.rs
+++ b/crates/fault-soak/src/environment/listener.rs
@@ -13,10 +13,10 @@
 }
 
 /// Handles each connection in a task of its own, until the runtime ends.
-pub(super) fn serve<Handler, Handling>(listener: TcpListener, handler: Handler)
+pub(super) fn serve<Handler, HandlerFuture>(listener: TcpListener, handler: Handler)
 where
-    Handler: Fn(TcpStream) -> Handling + Send + 'static,
-    Handling: Future<Output = ()> + Send + 'static,
+    Handler: Fn(TcpStream) -> HandlerFuture + Send + 'static,
+    HandlerFuture: Future<Output = ()> + Send + 'static,
 {
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
