--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -42,7 +42,7 @@
     next_stream: u32,
     requests_left: u32,
     /// It goes on sending after a GOAWAY, until the connection ends.
-    is_persistent: bool,
+    always_ignores_go_away: bool,
 }
 
 /// What a client does next on a connection.
@@ -73,7 +73,7 @@
             output,
             next_stream: 1,
             requests_left: fastrand::u32(REQUESTS_PER_CONNECTION),
-            is_persistent: fastrand::u8(..100) < PERSISTENT_PERCENT,
+            always_ignores_go_away: fastrand::u8(..100) < PERSISTENT_PERCENT,
         }
     }
 
@@ -100,7 +100,7 @@
 
     fn choose_action(&self) -> Action {
         let switches = self.state.switches();
-        let ignores_go_away = self.is_persistent || switches.ignore_go_away.is_on();
+        let ignores_go_away = self.always_ignores_go_away || switches.ignore_go_away.is_on();
         let obeys_go_away = self.state.has_received_go_away() && !ignores_go_away;
         if self.requests_left == 0 || obeys_go_away {
             return Action::Close;
