--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -18,7 +18,7 @@
 /// Timeout of a request, in hundredths of the longest deadline.
 const TIMEOUTS_PERCENT: RangeInclusive<u32> = 15..=100;
 /// How many of a hundred connections ignore GOAWAY.
-const PERSISTENT_PERCENT: u8 = 40;
+const IGNORES_GO_AWAY_PERCENT: u8 = 40;
 /// Functions that are called.
 const FUNCTIONS: RangeInclusive<u64> = 1..=24;
 /// Requests on a connection before it is closed.
@@ -73,7 +73,7 @@
             output,
             next_stream: 1,
             requests_left: fastrand::u32(REQUESTS_PER_CONNECTION),
-            always_ignores_go_away: fastrand::u8(..100) < PERSISTENT_PERCENT,
+            always_ignores_go_away: fastrand::u8(..100) < IGNORES_GO_AWAY_PERCENT,
         }
     }
 
