--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -1,7 +1,7 @@
 //! The sending side of a client's connection.
 
 use super::connection_state::ConnectionState;
-use super::{Clients, has_come, request_body, response_reader};
+use super::{Clients, has_passed, request_body, response_reader};
 use crate::environment::frame_codec::{self, RequestFrame};
 use crate::recorder::{Event, Incarnation};
 use crate::request::RequestClass;
@@ -79,7 +79,7 @@
 
     /// Acts until the connection is closed, `ends_at` has come or the clients are stopped.
     pub(super) async fn run(mut self, ends_at: Option<Instant>) {
-        while !self.state.is_closed() && !self.state.clients.is_stopped() && !has_come(ends_at) {
+        while !self.state.is_closed() && !self.state.clients.is_stopped() && !has_passed(ends_at) {
             match self.choose_action() {
                 Action::SendRequest => {
                     self.requests_left -= 1;
--- a/crates/fault-soak/src/environment/client/mod.rs
+++ b/crates/fault-soak/src/environment/client/mod.rs
@@ -66,7 +66,7 @@
 
 /// Sends requests to a scheduler, on one connection after another, until `ends_at` or until the clients are stopped.
 pub(super) async fn run(clients: Arc<Clients>, scheduler: Arc<Scheduler>, ends_at: Option<Instant>) {
-    while !clients.is_stopped() && !has_come(ends_at) {
+    while !clients.is_stopped() && !has_passed(ends_at) {
         let Some(incarnation) = scheduler.incarnation_in_rotation() else {
             sleep(RECONNECT_DELAY).await;
             continue;
@@ -83,7 +83,7 @@
 }
 
 /// Whether a time has come, if there is one.
-fn has_come(time: Option<Instant>) -> bool {
+fn has_passed(time: Option<Instant>) -> bool {
     time.is_some_and(|time| time <= Instant::now())
 }
 
