--- a/crates/fault-soak/src/environment/scheduler/log_reader.rs
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -10,7 +10,7 @@
 /// Lines that are kept.
 pub(super) const MAX_LINES: usize = 400;
 /// How the log reports that an invariant is violated, or that the code has panicked.
-const VIOLATION_MARKS: [&str; 2] = ["violation kind=", "panic "];
+const VIOLATION_MARKERS: [&str; 2] = ["violation kind=", "panic "];
 
 /// The last lines of a log, each with the time at which it was read.
 #[derive(Debug, Default)]
@@ -57,5 +57,5 @@
 
 /// Whether a line of a log reports a violation or a panic.
 pub(super) fn reports_violation(line: &str) -> bool {
-    VIOLATION_MARKS.iter().any(|mark| line.contains(mark))
+    VIOLATION_MARKERS.iter().any(|mark| line.contains(mark))
 }
