--- a/crates/fault-soak/src/environment/discovery/watch.rs
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -53,13 +53,13 @@
             time_at_former_address += POLL_INTERVAL;
         }
         time_without_event += POLL_INTERVAL;
-        wait(&mut stream).await?;
+        wait_for_next_poll(&mut stream).await?;
     }
     Ok(())
 }
 
 /// Waits for the next look. Fails if the scheduler has closed the watch.
-async fn wait(stream: &mut TcpStream) -> io::Result<()> {
+async fn wait_for_next_poll(stream: &mut TcpStream) -> io::Result<()> {
     match timeout(POLL_INTERVAL, stream.read(&mut [0])).await {
         Ok(Ok(0)) => return Err(io::ErrorKind::UnexpectedEof.into()),
         Ok(Err(error)) => return Err(error),
