--- a/crates/fault-soak/src/environment/discovery/watch.rs
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -16,7 +16,7 @@
 /// Shortest pause between two looks, if the scheduler sends something.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// How long the watches at the former address stay open after the switch to the other.
-const FORMER_ADDRESS_LINGER: Duration = Duration::from_millis(1_500);
+const FORMER_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Serves a connection, or closes it at once where the service is down or has moved.
 pub(super) async fn serve(discovery: Arc<Discovery>, address: AddressId, stream: TcpStream) {
@@ -36,7 +36,7 @@
     // A new watch without events gets a heartbeat at once.
     let mut time_without_event = HEARTBEAT_INTERVAL;
     let mut time_at_former_address = Duration::ZERO;
-    while !discovery.switches.down.is_on() && time_at_former_address < FORMER_ADDRESS_LINGER {
+    while !discovery.switches.down.is_on() && time_at_former_address < FORMER_ADDRESS_CLOSE_DELAY {
         let is_active = discovery.is_active(address);
         if is_active && !discovery.switches.black_hole.is_on() {
             for event in discovery.events_after(last_event as usize) {
