--- a/crates/fault-soak/src/environment/scheduler/log_reader.rs
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -57,5 +57,5 @@
 
 /// Whether a line of a log reports a violation or a panic.
 pub(super) fn reports_violation(line: &str) -> bool {
-    VIOLATION_MARKERS.iter().any(|mark| line.contains(mark))
+    VIOLATION_MARKERS.iter().any(|marker| line.contains(marker))
 }
