--- a/crates/fault-soak/src/invariants/cancellation.rs
+++ b/crates/fault-soak/src/invariants/cancellation.rs
@@ -10,7 +10,7 @@
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
     let cancelled_at = request.cancelled_at?;
     let late_attempt = request.attempts.iter().find(|attempt| {
-        let tolerance = CANCELLATION_TOLERANCE + SOCKET_TOLERANCE + context.timer_lag.around(attempt.at);
+        let tolerance = CANCELLATION_TOLERANCE + SOCKET_TOLERANCE + context.timer_lag.max_near(attempt.at);
         attempt.is_undelayed && attempt.at > cancelled_at + tolerance
     })?;
     let details = format!("cancelled at {cancelled_at:?}");
--- a/crates/fault-soak/src/invariants/draining.rs
+++ b/crates/fault-soak/src/invariants/draining.rs
@@ -30,7 +30,7 @@
 
 fn is_violation(dispatch: &Dispatch, drain: &Drain, history: &RunHistory, timer_lag: &TimerLag) -> bool {
     let notified_at = notified_at(history, drain.started_at, dispatch.at);
-    let limit = notified_at + DRAIN_GRACE + SOCKET_TOLERANCE + timer_lag.around(dispatch.at);
+    let limit = notified_at + DRAIN_GRACE + SOCKET_TOLERANCE + timer_lag.max_near(dispatch.at);
     let was_ready_again = drain.ready_at.is_some_and(|ready_at| dispatch.at >= ready_at);
     dispatch.is_undelayed && dispatch.at > limit && !was_ready_again
 }
--- a/crates/fault-soak/src/invariants/response_deadline.rs
+++ b/crates/fault-soak/src/invariants/response_deadline.rs
@@ -25,5 +25,5 @@
 /// The latest time of the final response, as seen by the client.
 pub(super) fn due_at(sent: &SentRequest, context: &Context) -> Duration {
     let due_at = sent.deadline() + LATENESS_TOLERANCE + SOCKET_TOLERANCE;
-    due_at + context.timer_lag.around(due_at)
+    due_at + context.timer_lag.max_near(due_at)
 }
--- a/crates/fault-soak/src/invariants/time_limit.rs
+++ b/crates/fault-soak/src/invariants/time_limit.rs
@@ -11,7 +11,7 @@
     let sent = request.sent?;
     let too_long = request.attempts.iter().find(|attempt| {
         let time_left = sent.deadline().saturating_sub(attempt.at);
-        let tolerance = TIME_LIMIT_TOLERANCE + context.timer_lag.around(attempt.at);
+        let tolerance = TIME_LIMIT_TOLERANCE + context.timer_lag.max_near(attempt.at);
         attempt.is_undelayed && attempt.time_limit > time_left + tolerance
     })?;
     let details = format!("{too_long:?}, sent at {:?}, timeout {:?}", sent.at, sent.timeout);
--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -42,8 +42,8 @@
         timer_lag
     }
 
-    /// The longest lag around a time.
-    pub(crate) fn around(&self, at: Duration) -> Duration {
+    /// The longest lag max_near a time.
+    pub(crate) fn max_near(&self, at: Duration) -> Duration {
         let late_ticks = self.late_ticks();
         let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < NEARBY);
         nearby.map(|tick| tick.lag).max().unwrap_or_default()
