--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -7,7 +7,7 @@
 /// Interval of the timer that is measured.
 const TICK: Duration = Duration::from_millis(5);
 /// A late tick counts for all events within this time of it.
-const NEARBY: Duration = Duration::from_millis(1_000);
+const LAG_WINDOW: Duration = Duration::from_millis(1_000);
 /// A tick that is late by no more than this is within the timer's resolution.
 const RESOLUTION: Duration = Duration::from_millis(4);
 
@@ -45,7 +45,7 @@
     /// The longest lag max_near a time.
     pub(crate) fn max_near(&self, at: Duration) -> Duration {
         let late_ticks = self.late_ticks();
-        let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < NEARBY);
+        let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < LAG_WINDOW);
         nearby.map(|tick| tick.lag).max().unwrap_or_default()
     }
 
