--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 /// Interval of the timer that is measured.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// A late tick counts for all events within this time of it.
 const LAG_WINDOW: Duration = Duration::from_millis(1_000);
 /// A tick that is late by no more than this is within the timer's resolution.
@@ -31,8 +31,8 @@
         tokio::spawn(async move {
             loop {
                 let tick_started_at = Instant::now();
-                sleep(TICK).await;
-                let lag = tick_started_at.elapsed().saturating_sub(TICK);
+                sleep(TICK_INTERVAL).await;
+                let lag = tick_started_at.elapsed().saturating_sub(TICK_INTERVAL);
                 if lag > RESOLUTION {
                     let at = start.elapsed();
                     measured.late_ticks().push(LateTick { at, lag });
