--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -9,7 +9,7 @@
 /// A late tick counts for all events within this time of it.
 const LAG_WINDOW: Duration = Duration::from_millis(1_000);
 /// A tick that is late by no more than this is within the timer's resolution.
-const RESOLUTION: Duration = Duration::from_millis(4);
+const TIMER_RESOLUTION: Duration = Duration::from_millis(4);
 
 /// The ticks that were late.
 #[derive(Debug, Default)]
@@ -33,7 +33,7 @@
                 let tick_started_at = Instant::now();
                 sleep(TICK_INTERVAL).await;
                 let lag = tick_started_at.elapsed().saturating_sub(TICK_INTERVAL);
-                if lag > RESOLUTION {
+                if lag > TIMER_RESOLUTION {
                     let at = start.elapsed();
                     measured.late_ticks().push(LateTick { at, lag });
                 }
