--- a/crates/fault-soak/src/invariants/final_response.rs
+++ b/crates/fault-soak/src/invariants/final_response.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// A request that is sent less than this before the end of its connection may not have been received (page PROTOCOL).
-const CROSSING_TIME: Duration = Duration::from_millis(50);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
 /// No response is due to a request that its client has abandoned, whose scheduler was killed before the deadline, that
 /// crossed the end of its connection, or whose deadline is after the end of the run.
@@ -17,7 +17,7 @@
     let due_at = response_deadline::due_at(&sent, context);
     let closed_at = context.history.closed_connections.get(&sent.connection).copied();
     if was_killed_before(due_at, &sent, context)
-        || closed_at.is_some_and(|at| at.saturating_sub(sent.at) < CROSSING_TIME)
+        || closed_at.is_some_and(|at| at.saturating_sub(sent.at) < CLOSE_RACE_WINDOW)
         || due_at > context.ended_at
     {
         return None;
