--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -100,11 +100,11 @@
     ];
     assert_eq!(violated(&killed), []);
     let connection = CONNECTION;
-    let crossed = [
+    let sent_before_close = [
         sent(RequestClass::Idempotent),
         at(1_030, Event::ConnectionClosed { connection }),
     ];
-    assert_eq!(violated(&crossed), []);
+    assert_eq!(violated(&sent_before_close), []);
 }
 
 #[test]
