--- a/crates/fault-soak/src/invariants/recovery.rs
+++ b/crates/fault-soak/src/invariants/recovery.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Service is measured for this time before the clients stop.
-const WINDOW: Duration = Duration::from_millis(2_000);
+const RECOVERY_WINDOW: Duration = Duration::from_millis(2_000);
 /// The fraction of the requests, 0 to 1, that has to be served.
 const MIN_SERVED_FRACTION: f64 = 0.5;
 /// The requests that have to be sent: with fewer, the fraction says nothing.
@@ -15,7 +15,7 @@
 
 /// Checks the last requests of a run whose clients stopped at `clients_stopped_at`.
 pub(crate) fn check(records: &[Record], clients_stopped_at: Duration) -> Option<Violation> {
-    let window_start = clients_stopped_at.saturating_sub(WINDOW);
+    let window_start = clients_stopped_at.saturating_sub(RECOVERY_WINDOW);
     let mut sent = HashSet::new();
     let mut served = 0usize;
     for record in records {
