--- a/crates/fault-soak/src/invariants/process_exit.rs
+++ b/crates/fault-soak/src/invariants/process_exit.rs
@@ -19,8 +19,8 @@
                 success,
                 was_requested,
             } => {
-                let is_in_order = killed.contains(incarnation) || *success && *was_requested;
-                if !is_in_order {
+                let is_allowed = killed.contains(incarnation) || *success && *was_requested;
+                if !is_allowed {
                     let details =
                         format!("{incarnation:?} exited, success: {success}, requested: {was_requested}");
                     violations.push(Violation::new(Invariant::ProcessExit, record.at, details));
