--- a/crates/fault-soak/src/invariants/history.rs
+++ b/crates/fault-soak/src/invariants/history.rs
@@ -89,14 +89,14 @@
 pub(super) struct Outage {
     pub(super) started_at: Duration,
     /// When the last fault ended so far.
-    last_fault_at: Duration,
+    last_fault_ended_at: Duration,
     active_faults: usize,
 }
 
 impl Outage {
     /// Whether it had begun by then and had not ended, or not for longer than `span`.
     pub(super) fn includes(&self, at: Duration, span: Duration) -> bool {
-        let has_ended = self.active_faults == 0 && at > self.last_fault_at + span;
+        let has_ended = self.active_faults == 0 && at > self.last_fault_ended_at + span;
         self.started_at <= at && !has_ended
     }
 }
@@ -173,11 +173,11 @@
             (Some(outage), FaultPhase::Started) => outage.active_faults += 1,
             (Some(outage), FaultPhase::Ended) => {
                 outage.active_faults -= 1;
-                outage.last_fault_at = at;
+                outage.last_fault_ended_at = at;
             }
             (None, FaultPhase::Started) => self.outages.push(Outage {
                 started_at: at,
-                last_fault_at: at,
+                last_fault_ended_at: at,
                 active_faults: 1,
             }),
             (None, FaultPhase::Ended) => {}
