--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -73,10 +73,10 @@
     let mut violations = process_exit::check(records);
     violations.extend(process_health::check(records));
     for request in history.requests() {
-        let of_request = REQUEST_CHECKS
+        let request_violations = REQUEST_CHECKS
             .iter()
             .filter_map(|group| group.iter().find_map(|check| check(request, &context)));
-        violations.extend(of_request);
+        violations.extend(request_violations);
     }
     violations.extend(draining::check(&history, timer_lag));
     violations.sort_by_key(|violation| violation.at);
