--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -73,12 +73,12 @@
 
 /// Whether a record is about the request of a violation, or about a fault or a state near its time.
 fn is_relevant(record: &Record, violation: &Violation) -> bool {
-    let is_of_request = |request: &RequestId| violation.request == Some(*request);
+    let is_violating_request = |request: &RequestId| violation.request == Some(*request);
     match &record.event {
         Event::RequestSent { request, .. }
         | Event::ResponseReceived { request, .. }
         | Event::RequestCancelled { request }
-        | Event::AttemptReceived { request, .. } => is_of_request(request),
+        | Event::AttemptReceived { request, .. } => is_violating_request(request),
         Event::ConnectionClosed { .. } | Event::LoadOrderReceived { .. } => false,
         Event::Fault { .. }
         | Event::Process { .. }
