--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -15,7 +15,7 @@
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
 /// Makes discovery unreachable, closed or silent, and drains two workers meanwhile, which stay up until it is back.
-pub(super) async fn isolate(environment: &Environment, fault: &PlannedFault) {
+pub(super) async fn disconnect_and_drain(environment: &Environment, fault: &PlannedFault) {
     let switches = &environment.discovery.switches;
     let switch = if fault.variant.is_multiple_of(2) {
         &switches.down
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -52,7 +52,7 @@
         FaultKind::ClientsMalformedFrames => activate(&client_faults.malformed_frames).await,
         FaultKind::ClientsIgnoreGoAway => activate(&client_faults.ignore_go_away).await,
         FaultKind::ClientsIdle => client_connections::open_idle(scheduler, fault).await,
-        FaultKind::LongDiscoveryOutage => discovery_outage::isolate(environment, fault).await,
+        FaultKind::LongDiscoveryOutage => discovery_outage::disconnect_and_drain(environment, fault).await,
         FaultKind::SignalSeries => scheduler_process::send_signal_series(environment, scheduler).await,
         FaultKind::ClientsCrowd => environment.run_crowd(scheduler, fault.duration).await,
     }
