--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -10,7 +10,7 @@
 /// When the first worker begins to drain: soon after the beginning of the outage, in milliseconds.
 const EARLY_DRAIN_DELAYS_MS: RangeInclusive<u64> = 20..=800;
 /// When the second one does: about when the first drain counts as notified, or later, in milliseconds.
-const LATE_DRAINS_MS: RangeInclusive<u64> = 3_500..=5_500;
+const LATE_DRAIN_DELAYS_MS: RangeInclusive<u64> = 3_500..=5_500;
 /// How long the workers go on draining after the end of the outage.
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
@@ -34,7 +34,7 @@
             environment,
             environment.worker(fault.target + 1),
             fault,
-            LATE_DRAINS_MS
+            LATE_DRAIN_DELAYS_MS
         ),
     );
 }
