--- a/crates/fault-soak/src/faults/kind.rs
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -67,7 +67,7 @@
 const DURATIONS_MS: RangeInclusive<u64> = 200..=1_500;
 /// How long an outage lasts that is longer than the time after which a change counts as notified (4 s) and the grace
 /// period, in milliseconds.
-const LONG_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
+const LONG_OUTAGE_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
 
 impl FaultKind {
     /// Its name and its description, as the command line has them.
@@ -80,7 +80,7 @@
     /// How long a fault of this kind lasts, in milliseconds.
     pub(super) fn durations_ms(self) -> RangeInclusive<u64> {
         match self {
-            FaultKind::LongDiscoveryOutage => LONG_DURATIONS_MS,
+            FaultKind::LongDiscoveryOutage => LONG_OUTAGE_DURATIONS_MS,
             _ => DURATIONS_MS,
         }
     }
