--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -13,7 +13,7 @@
 /// Time between the starts of two groups, in milliseconds.
 const GROUP_INTERVALS_MS: RangeInclusive<u64> = 500..=1_300;
 /// How much later than its group a fault starts, in milliseconds.
-const OFFSETS_MS: RangeInclusive<u64> = 0..=250;
+const START_OFFSETS_MS: RangeInclusive<u64> = 0..=250;
 /// Targets are drawn below this and then taken modulo the number of schedulers or workers.
 const TARGETS: usize = 1000;
 
@@ -90,7 +90,7 @@
     PlannedFault {
         kind,
         target: shared_target.unwrap_or_else(|| random.usize(..TARGETS)),
-        starts_at: group_at + Duration::from_millis(random.u64(OFFSETS_MS)),
+        starts_at: group_at + Duration::from_millis(random.u64(START_OFFSETS_MS)),
         duration: Duration::from_millis(random.u64(kind.durations_ms())),
         variant: random.u64(..),
     }
