--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -15,7 +15,7 @@
 /// How much later than its group a fault starts, in milliseconds.
 const START_OFFSETS_MS: RangeInclusive<u64> = 0..=250;
 /// Targets are drawn below this and then taken modulo the number of schedulers or workers.
-const TARGETS: usize = 1000;
+const TARGET_BOUND: usize = 1000;
 
 /// A fault of a schedule.
 #[derive(Clone, Debug)]
@@ -69,7 +69,7 @@
     let mut group_at = Duration::from_millis(random.u64(GROUP_INTERVALS_MS));
     while group_at < length {
         // Half of the groups hit one target with all their faults.
-        let shared_target = random.bool().then(|| random.usize(..TARGETS));
+        let shared_target = random.bool().then(|| random.usize(..TARGET_BOUND));
         for _ in 0..random.usize(GROUP_SIZES) {
             faults.push(draw_fault(&mut random, kinds, group_at, shared_target));
         }
@@ -89,7 +89,7 @@
     let kind = kinds[random.usize(..kinds.len())];
     PlannedFault {
         kind,
-        target: shared_target.unwrap_or_else(|| random.usize(..TARGETS)),
+        target: shared_target.unwrap_or_else(|| random.usize(..TARGET_BOUND)),
         starts_at: group_at + Duration::from_millis(random.u64(START_OFFSETS_MS)),
         duration: Duration::from_millis(random.u64(kind.durations_ms())),
         variant: random.u64(..),
