--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -54,10 +54,10 @@
                 .iter()
                 .filter(|other| first.overlaps(other))
                 .collect();
-            for (place, second) in overlapping.iter().enumerate() {
+            for (second_index, second) in overlapping.iter().enumerate() {
                 let pair = sorted([first.kind, second.kind]);
                 self.overlapping_pairs.insert(pair);
-                let thirds = overlapping[place + 1..].iter();
+                let thirds = overlapping[second_index + 1..].iter();
                 for third in thirds.filter(|third| second.overlaps(third)) {
                     let triple = sorted([first.kind, second.kind, third.kind]);
                     self.overlapping_triples.insert(triple);
