--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -57,8 +57,8 @@
             for (second_index, second) in overlapping.iter().enumerate() {
                 let pair = sorted([first.kind, second.kind]);
                 self.overlapping_pairs.insert(pair);
-                let thirds = overlapping[second_index + 1..].iter();
-                for third in thirds.filter(|third| second.overlaps(third)) {
+                let third_candidates = overlapping[second_index + 1..].iter();
+                for third in third_candidates.filter(|third| second.overlaps(third)) {
                     let triple = sorted([first.kind, second.kind, third.kind]);
                     self.overlapping_triples.insert(triple);
                 }
