--- a/crates/fault-soak/src/command_line.rs
+++ b/crates/fault-soak/src/command_line.rs
@@ -96,11 +96,11 @@
     pub(crate) fn launch_options(&self) -> Result<LaunchOptions> {
         let own_path = std::env::current_exe()?;
         let folder = own_path.parent().context("this program lies in no folder")?;
-        let given_or_beside =
+        let path_or_default =
             |given: &Option<PathBuf>, name: &str| given.clone().unwrap_or_else(|| folder.join(name));
         let options = LaunchOptions {
-            program: given_or_beside(&self.program, "function-scheduler"),
-            shim: given_or_beside(&self.shim, "libfault_shim.so"),
+            program: path_or_default(&self.program, "function-scheduler"),
+            shim: path_or_default(&self.shim, "libfault_shim.so"),
             log_level: self.log_level.clone(),
         };
         for path in [&options.program, &options.shim] {
