--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -32,11 +32,11 @@
     /// The error that this call has to fail with, if it has to fail.
     pub(crate) fn injected_error(&self, call: SystemCall) -> Option<c_int> {
         let error = self.read(Slot::error_of(call));
-        (error != 0 && self.draw(Slot::failure_rate_of(call))).then_some(error as c_int)
+        (error != 0 && self.should_inject(Slot::failure_rate_of(call))).then_some(error as c_int)
     }
 
     /// Draws whether an event happens whose rate is in a slot.
-    pub(crate) fn draw(&self, rate: Slot) -> bool {
+    pub(crate) fn should_inject(&self, rate: Slot) -> bool {
         let rate = self.read(rate);
         rate > 0 && (self.random_below(RATE_DENOMINATOR) as i64) < rate
     }
--- a/crates/fault-shim/src/injection.rs
+++ b/crates/fault-shim/src/injection.rs
@@ -29,7 +29,7 @@
     let Some(control) = control() else {
         return length;
     };
-    if length > 1 && control.draw(Slot::SHORT_IO_RATE) && is_tcp(descriptor) {
+    if length > 1 && control.should_inject(Slot::SHORT_IO_RATE) && is_tcp(descriptor) {
         1 + control.random_below(length - 1)
     } else {
         length
