--- a/crates/fault-soak/src/faults/tests.rs
+++ b/crates/fault-soak/src/faults/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_seed_gives_one_schedule_in_which_faults_overlap() {
+fn a_seed_determines_a_schedule_with_overlapping_faults() {
     assert_eq!(lines_of(5), lines_of(5));
     assert_ne!(lines_of(5), lines_of(6));
     let faults = schedule(5, LENGTH, &[]);
