--- a/crates/fault-soak/src/faults/tests.rs
+++ b/crates/fault-soak/src/faults/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_kind_of_fault_has_a_name_and_a_description_of_its_own() {
+fn every_fault_kind_has_a_unique_name_and_description() {
     let kinds = FaultKind::value_variants();
     let listed: Vec<(String, String)> = kinds.iter().map(|kind| kind.name_and_description()).collect();
     let names: BTreeSet<&String> = listed.iter().map(|(name, _)| name).collect();
