--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_request_that_was_not_sent_whole_needs_no_response() {
+fn a_partially_sent_request_needs_no_response() {
     assert_eq!(violated(&[attempt(1_010, 990)]), []);
     let many_attempts: Vec<Record> = (1..=5).map(|n| attempt(1_000 + n, 990)).collect();
     assert_eq!(violated(&many_attempts), [Invariant::AttemptLimit]);
