--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn service_that_does_not_come_back_is_a_violation() {
+fn service_that_does_not_recover_is_a_violation() {
     let clients_stopped_at = Duration::from_secs(10);
     let run = |requests: u64, served: u64| -> Vec<Record> {
         let sent = (0..requests).map(|n| sent_at(8_500 + n, RequestId(n), RequestClass::Idempotent));
