--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -230,7 +230,7 @@
 
 /// What is published in an outage counts as notified 4 s after the outage began, or at once where it comes later.
 #[test]
-fn in_an_outage_of_discovery_the_time_of_a_drain_counts_from_the_beginning_of_the_outage() {
+fn drain_notifications_during_an_outage_count_from_the_start_of_the_outage() {
     let outage_fault = |milliseconds, phase| {
         let event = Event::Fault {
             number: 0,
