--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -20,7 +20,7 @@
 
 /// The control file, if the environment names one that can be mapped.
 pub(crate) fn control() -> Option<&'static Control> {
-    CONTROL.get_or_init(map).as_ref()
+    CONTROL.get_or_init(map_control_file).as_ref()
 }
 
 impl Control {
@@ -49,7 +49,7 @@
 }
 
 /// Maps the file with raw system calls, because the C library's functions lead back to this library.
-fn map() -> Option<Control> {
+fn map_control_file() -> Option<Control> {
     let path = std::env::var_os(CONTROL_VARIABLE)?;
     let path = CString::new(path.as_bytes()).ok()?;
     // SAFETY: the path ends with a zero byte; the mapping is as long as the file, lasts as long as the process, and
