--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration: which document cannot be used, which key, and what is wrong with it.
+//! Configuration errors, which name the invalid document, the key and the problem.
 
 use std::fmt;
 use std::io;
@@ -6,14 +6,14 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// A document of which the configuration consists.
+/// One of the documents that make up the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigDocument {
     /// The platform's configuration file.
     SchedulerFile,
     /// The operator's file.
     OperatorFile,
-    /// The site's settings, which the platform's file contains.
+    /// The site's settings, which are embedded in the platform's file.
     Settings,
 }
 
@@ -27,68 +27,73 @@
     }
 }
 
-/// Why a configuration cannot be used.
+/// An error in one of the configuration documents.
 #[derive(Debug, Error)]
 #[error("{document}: {problem}")]
 pub struct ConfigError {
-    /// The document that cannot be used.
+    /// The invalid document.
     pub document: ConfigDocument,
-    /// What is wrong with it.
+    /// The problem found in the document.
     pub problem: ConfigProblem,
 }
 
-/// What is wrong with a document. Keys are paths as the document writes them, such as `classes[0].effect`.
+/// A problem in a configuration document.
+///
+/// Keys are paths in the notation of the document, such as `classes[0].effect`.
 #[derive(Debug, Error)]
 pub enum ConfigProblem {
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system call.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// It is not JSON, or lacks a key, or a key's value has another type. The inner error names the key and
-    /// the line.
+    /// The document is not valid JSON, lacks a required key, or has a value of the wrong type.
+    ///
+    /// The inner error names the key and the line.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// It is not TOML, or lacks a key, or has an unknown one, or a key's value has another type. The inner
-    /// error names the key and the line.
+    /// The document is not valid TOML, lacks a required key, or has an unknown key or a value of the wrong
+    /// type.
+    ///
+    /// The inner error names the key and the line.
     #[error("{0}")]
     Toml(#[from] Box<toml::de::Error>),
-    /// A value is not among those listed for its key.
+    /// A value is not one of those defined for its key.
     #[error("{key} is '{value}'")]
     UnknownValue {
         /// The key.
         key: String,
-        /// Its value.
+        /// The unknown value.
         value: String,
     },
-    /// A key is missing that the value of another key requires.
+    /// A key that the value of another key requires is missing.
     #[error("{parent} lacks {key}")]
     MissingKey {
-        /// The object that should hold the key.
+        /// Path of the object that lacks the key.
         parent: String,
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// A number is outside the range of its key.
+    /// A number is outside the range that is valid for its key.
     #[error("{key} is not between {min} and {max}")]
     OutOfRange {
         /// The key.
         key: &'static str,
-        /// Least valid value.
+        /// Smallest valid value.
         min: usize,
-        /// Greatest valid value.
+        /// Largest valid value.
         max: usize,
     },
-    /// A number of the virtual router is outside its range (RFC 9568, section 5.2).
+    /// A numeric parameter of the virtual router is outside its range (RFC 9568, section 5.2).
     #[error("vrrp.vrid, priority and interval_cs start from 1")]
     VirtualRouterOutOfRange {
         /// The key.
         key: &'static str,
     },
-    /// An address on which advertisements are sent or received is not a loopback address.
+    /// An address for sending or receiving VRRP advertisements is not a loopback address.
     #[error("vrrp.bind and peers are loopback addresses")]
     NotLoopback {
         /// The key.
@@ -96,7 +101,7 @@
         /// The address.
         address: SocketAddr,
     },
-    /// The id of a JSON-RPC worker is not `s-` and 8 hexadecimal digits.
+    /// The id of a JSON-RPC worker is not `s-` followed by 8 hexadecimal digits.
     #[error("checkers.id '{id}' is not 's-' and 8 hexadecimal digits")]
     InvalidJsonRpcWorkerId {
         /// The id.
@@ -118,7 +123,7 @@
         }
     }
 
-    /// The error that names `document` as the one with this problem.
+    /// Returns the [`ConfigError`] that reports this problem in `document`.
     pub(super) fn in_document(self, document: ConfigDocument) -> ConfigError {
         ConfigError {
             document,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration: the platform's JSON file with the site's settings in it, and the operator's TOML file.
+//! Configuration: the platform's JSON file, which embeds the site's settings, and the operator's TOML file.
 //!
-//! Each document has a deserialized form, in its module `document`, where keys and values are named as in the
-//! file, and a checked form, which is what the rest of the program uses.
+//! Each document is deserialized into the types of its `document` module, where keys and values are named as
+//! in the file, and then converted to validated types, which the rest of the program uses.
 
 mod error;
 mod operator_file;
@@ -19,7 +19,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// The files from which the configuration is read: at the start, and again on SIGHUP.
+/// Paths of the files from which the configuration is read at startup and on SIGHUP.
 #[derive(Clone, Debug)]
 pub struct ConfigSources {
     /// The platform's configuration file.
@@ -28,21 +28,21 @@
     pub operator_file: Option<PathBuf>,
 }
 
-/// Both files, read and checked.
+/// The validated contents of both configuration files.
 #[derive(Clone, Debug)]
 pub struct Configuration {
     /// The platform's configuration.
     pub scheduler: SchedulerConfig,
-    /// The operator's; empty where there is no file.
+    /// The operator's configuration; empty if there is no operator's file.
     pub operator: OperatorConfig,
 }
 
 impl ConfigSources {
-    /// Reads and checks both files. A problem in either file is an error for both.
+    /// Reads and validates both files.
     ///
     /// # Errors
     ///
-    /// The first problem found, the operator's file being read first.
+    /// Returns the first problem found in either file. The operator's file is read first.
     pub fn load(&self) -> Result<Configuration, ConfigError> {
         let operator = match &self.operator_file {
             Some(path) => load_operator_config(path)?,
