--- a/src/config/operator_file/convert.rs
+++ b/src/config/operator_file/convert.rs
@@ -1,4 +1,4 @@
-//! From the deserialized form of the operator's file to checked values, a section each.
+//! Conversion of the operator's file from its deserialized form to validated values, section by section.
 
 use super::document::{JsonRpcDocument, JsonRpcWorkerDocument, OperatorDocument, VrrpDocument};
 use super::{JsonRpcConfig, JsonRpcWorkerConfig, OperatorConfig, VrrpConfig};
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Limits that the file may set on the length of a line, in bytes.
+/// Valid range of the configured maximum line length, in bytes.
 const MAX_LINE_BYTES_RANGE: RangeInclusive<usize> = 1 << 10..=1 << 20;
 
 impl TryFrom<OperatorDocument> for OperatorConfig {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Checks the numbers whose ranges RFC 9568 gives (section 5.2).
+/// Checks the parameters whose ranges RFC 9568 defines (section 5.2).
 fn check_virtual_router(document: &VrrpDocument) -> Result<(), ConfigProblem> {
     let out_of_range = |key| Err(ConfigProblem::VirtualRouterOutOfRange { key });
     if document.virtual_router_id == 0 {
--- a/src/config/operator_file/document.rs
+++ b/src/config/operator_file/document.rs
@@ -1,21 +1,22 @@
-//! The deserialized form of the operator's file. Only here are keys named as in the file.
+//! Deserialized form of the operator's file. Only this module uses the key names of the file.
 //!
-//! `expecting` keeps the texts of type errors independent of the names of these types. Unknown keys are errors.
+//! The `expecting` attributes keep the texts of type errors independent of the type names. Unknown keys are
+//! errors.
 
 use crate::config::worker::default_weight;
 use serde::{Deserialize, Deserializer};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Permission bits of the socket file where the file gives none: owner and group may connect.
+/// Default permission bits of the socket file: owner and group may connect.
 const DEFAULT_SOCKET_MODE: u32 = 0o660;
-/// Greatest mode of the socket file: no bits beyond the permissions.
+/// Largest mode of the socket file: only permission bits may be set.
 const MAX_SOCKET_MODE: u32 = 0o777;
-/// Connections of JSON-RPC clients at a time where the file gives no limit.
+/// Default maximum number of concurrent connections from JSON-RPC clients.
 const DEFAULT_MAX_CLIENTS: usize = 64;
-/// Maximum length of a JSON-RPC client's line where the file gives none, in bytes.
+/// Default maximum length of a line from a JSON-RPC client, in bytes.
 const DEFAULT_MAX_LINE_BYTES: usize = 64 << 10;
-/// Time between advertisements where the file gives none, in centiseconds (RFC 9568, section 6.1: 1 s).
+/// Default time between advertisements, in centiseconds (RFC 9568, section 6.1: 1 s).
 const DEFAULT_INTERVAL_CENTISECONDS: u16 = 100;
 
 #[derive(Deserialize, Default)]
@@ -83,12 +84,12 @@
     DEFAULT_INTERVAL_CENTISECONDS
 }
 
-/// `Preempt_Mode` is true unless it is switched off (RFC 9568, section 6.1).
+/// Returns the default of `Preempt_Mode`, which is true (RFC 9568, section 6.1).
 fn default_preempt() -> bool {
     true
 }
 
-/// Deserializes permission bits that are written as a string of octal digits.
+/// Deserializes permission bits from a string of octal digits.
 fn deserialize_socket_mode<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
     let digits = String::deserialize(deserializer)?;
     let mode = u32::from_str_radix(&digits, 8)
--- a/src/config/operator_file/mod.rs
+++ b/src/config/operator_file/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's TOML file, which the option `--operator` names: the JSON-RPC frontend, JSON-RPC workers of
-//! this host, and VRRP. `deploy/jsonrpc.toml` shows its form.
+//! The operator's TOML file, given by the option `--operator`: the JSON-RPC frontend, the JSON-RPC workers of
+//! this host, and VRRP. `deploy/jsonrpc.toml` is an example.
 
 mod convert;
 mod document;
@@ -10,47 +10,47 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// What the operator of a host has set up beside the platform.
+/// Configuration of a host by its operator, in addition to the platform's.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    /// The JSON-RPC frontend; off where absent.
+    /// The JSON-RPC frontend; `None` if it is disabled.
     pub jsonrpc: Option<JsonRpcConfig>,
-    /// Workers on Unix sockets of this host that speak JSON-RPC.
+    /// JSON-RPC workers that listen on Unix sockets of this host.
     pub jsonrpc_workers: Vec<JsonRpcWorkerConfig>,
-    /// The election of the scheduler that accepts new requests on the JSON-RPC frontend; without it, this one
-    /// does.
+    /// VRRP, which elects the scheduler that accepts new requests on the JSON-RPC frontend. If `None`, this
+    /// scheduler always accepts them.
     pub vrrp: Option<VrrpConfig>,
 }
 
-/// The JSON-RPC frontend.
+/// Configuration of the JSON-RPC frontend.
 #[derive(Clone, Debug)]
 pub struct JsonRpcConfig {
-    /// The Unix socket on which clients connect.
+    /// Path of the Unix socket that clients connect to.
     pub socket: PathBuf,
-    /// The socket file's permission bits, which say who may connect: up to `0o777`.
+    /// Permission bits of the socket file, which determine who may connect: at most `0o777`.
     pub mode: u32,
-    /// Maximum number of connections at a time.
+    /// Maximum number of concurrent connections.
     pub max_clients: usize,
     /// Maximum length of a line, in bytes: 1,024 to 1,048,576.
     pub max_line_bytes: usize,
 }
 
-/// A worker on this host that speaks JSON-RPC.
+/// Configuration of a JSON-RPC worker on this host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JsonRpcWorkerConfig {
-    /// The worker; unlike any that the discovery service names.
+    /// Id of the worker; must differ from every id that the discovery service publishes.
     pub worker: WorkerId,
-    /// The Unix socket on which it listens.
+    /// Path of the Unix socket that the worker listens on.
     pub socket: PathBuf,
-    /// Its zone, by name.
+    /// Name of the worker's zone.
     pub zone: String,
-    /// Its machine kind, by name.
+    /// Name of the worker's machine kind.
     pub kind: String,
-    /// Its size relative to other workers.
+    /// Weight of the worker, relative to other workers.
     pub weight: f64,
 }
 
-/// The virtual router that this scheduler belongs to (RFC 9568).
+/// Configuration of the virtual router to which this scheduler belongs (RFC 9568).
 #[derive(Clone, Debug, PartialEq)]
 pub struct VrrpConfig {
     /// Virtual Router Identifier (VRID): 1 to 255.
@@ -59,27 +59,27 @@
     pub priority: u8,
     /// `Advertisement_Interval` in centiseconds: 1 to 4,095.
     pub interval_centiseconds: u16,
-    /// `Preempt_Mode`: whether it takes over from an active scheduler of lower priority.
+    /// `Preempt_Mode`: whether this scheduler takes over from an active scheduler of lower priority.
     pub preempt: bool,
     /// The loopback address on which this scheduler receives advertisements.
     pub bind: SocketAddr,
-    /// The loopback addresses on which the other schedulers do.
+    /// The loopback addresses on which the other schedulers receive advertisements.
     pub peers: Vec<SocketAddr>,
-    /// The virtual router's address, which advertisements carry.
+    /// The virtual router's IPv4 address, which advertisements contain.
     pub address: Ipv4Addr,
 }
 
-/// A JSON-RPC worker as an entry of the endpoint list.
+/// A JSON-RPC worker's entry in the endpoint list, with its socket.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JsonRpcWorkerEndpoint {
-    /// Its entry.
+    /// The entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// The Unix socket on which it listens.
+    /// Path of the Unix socket that the worker listens on.
     pub socket: PathBuf,
 }
 
 impl OperatorConfig {
-    /// The JSON-RPC workers as entries of the endpoint list.
+    /// Returns the JSON-RPC workers as entries of the endpoint list.
     pub fn jsonrpc_worker_endpoints(&self, site: &Site) -> Vec<JsonRpcWorkerEndpoint> {
         self.jsonrpc_workers
             .iter()
@@ -105,11 +105,12 @@
     }
 }
 
-/// Parses an operator's file.
+/// Parses the operator's file.
 ///
 /// # Errors
 ///
-/// The text is not TOML, a required key is missing, a key is unknown, or a value is outside its range.
+/// Returns an error if the text is not valid TOML, a required key is missing, a key is unknown, or a value
+/// has the wrong type or is outside its range.
 pub fn parse_operator_config(toml: &str) -> Result<OperatorConfig, ConfigError> {
     parse(toml).map_err(|problem| problem.in_document(ConfigDocument::OperatorFile))
 }
