--- a/src/config/scheduler_file/document.rs
+++ b/src/config/scheduler_file/document.rs
@@ -1,7 +1,7 @@
-//! The deserialized form of the platform's file. Only here are keys named as in the file.
+//! Deserialized form of the platform's file. Only this module uses the key names of the file.
 //!
-//! `expecting` keeps the texts of type errors independent of the names of these types. Keys that are not
-//! listed are ignored.
+//! The `expecting` attributes keep the texts of type errors independent of the type names. Unknown keys are
+//! ignored.
 
 use crate::config::worker::default_weight;
 use serde::Deserialize;
@@ -51,7 +51,7 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct Topology")]
 pub(super) struct EndpointListDocument {
-    /// Whether it is a snapshot of the list and not a change to it.
+    /// Whether the event is a snapshot of the list and not a delta.
     #[serde(rename = "all")]
     pub(super) is_snapshot: bool,
     #[serde(default, rename = "targets")]
@@ -74,7 +74,7 @@
     pub(super) state: String,
     #[serde(default = "default_weight", rename = "capacity_hint")]
     pub(super) weight: f64,
-    /// Unix time in milliseconds; zero where it is unknown.
+    /// Unix time in milliseconds at which the worker's process started; zero if unknown.
     #[serde(default, rename = "boot_ms")]
     pub(super) started_at_unix_ms: u64,
 }
--- a/src/config/scheduler_file/known_events.rs
+++ b/src/config/scheduler_file/known_events.rs
@@ -1,5 +1,4 @@
-//! The watch events that the platform's file contains: what the discovery service has published up to the
-//! start.
+//! Watch events in the platform's file: those that the discovery service had published when it was written.
 
 use super::document::{EndpointDocument, EventDocument, KnownDocument};
 use crate::config::error::ConfigProblem;
@@ -7,7 +6,7 @@
 use crate::discovery::{EndpointRecord, WatchEvent, started_at};
 use crate::model::{CellId, Endpoint, EndpointSource, EndpointState, EndpointUpdateKind, Site};
 
-/// The events by their offsets, whatever their order in the file.
+/// Parses the events and sorts them by offset; the file may list them in any order.
 pub(super) fn parse(known: &KnownDocument, site: &Site) -> Result<Vec<WatchEvent>, ConfigProblem> {
     let events = known.events.iter().map(|event| parse_event(event, site));
     let mut events: Vec<WatchEvent> = events.collect::<Result<_, _>>()?;
--- a/src/config/scheduler_file/mod.rs
+++ b/src/config/scheduler_file/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's JSON file, which `GW_CONFIG` names (page DEPLOY).
+//! The platform's JSON file, whose path is in `GW_CONFIG` (page DEPLOY).
 
 mod document;
 mod known_events;
@@ -10,33 +10,34 @@
 use document::{LimitsDocument, SchedulerDocument};
 use std::net::SocketAddr;
 
-/// File descriptors that the process may hold where the file gives no limit.
+/// Default limit on the file descriptors that the process may hold.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Memory that the process may use where the file gives no limit, in MB.
+/// Default limit on the memory that the process may use, in MB.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Least memory limit, in MB; a smaller one in the file counts as this.
+/// Smallest memory limit, in MB; a lower value in the file is raised to it.
 const MIN_MEMORY_MB: f64 = 1.0;
-/// Greatest memory limit, in MB; a greater one in the file counts as this.
+/// Largest memory limit, in MB; a higher value in the file is lowered to it.
 const MAX_MEMORY_MB: f64 = 1e6;
 
-/// What the platform gives a scheduler at its start.
+/// Configuration of a scheduler in the platform's file.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// The scheduler's name, the same after a restart.
+    /// Name of the scheduler, which stays the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Seed of random numbers; 0 where the file has none, or one that is not hexadecimal or above 64 bits.
+    /// Seed of the random number generator; 0 if the file has none, or one that is not hexadecimal or exceeds
+    /// 64 bits.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Number of file descriptors that the process may hold.
     pub max_descriptors: usize,
     /// Memory that the process may use, in MB: 1 to 1,000,000.
     pub memory_mb: usize,
-    /// The discovery service, which publishes the endpoint list; absent where there is none.
+    /// Address of the discovery service, which publishes the endpoint list; `None` if there is no service.
     pub discovery_service: Option<SocketAddr>,
-    /// The watch events up to now, by their offsets.
+    /// The watch events published so far, sorted by offset.
     pub known_events: Vec<WatchEvent>,
-    /// The site.
+    /// The site's settings.
     pub site: Site,
 }
 
@@ -44,11 +45,11 @@
 ///
 /// # Errors
 ///
-/// What is missing, has another type, or is a value that is not known, in the file itself or in the settings
-/// that it contains.
+/// Returns an error if a required key is missing, or a value is unknown or has the wrong type, in the file
+/// itself or in the settings that it embeds.
 pub fn parse_scheduler_config(json: &[u8]) -> Result<SchedulerConfig, ConfigError> {
     let document: SchedulerDocument = serde_json::from_slice(json).map_err(|error| invalid(error.into()))?;
-    // Errors of the settings give positions in this text, as for the settings that the simulator sends.
+    // Errors in the settings give positions in this text, as they do for settings that the simulator sends.
     let site = parse_site(document.settings.to_string().as_bytes())?;
     let known_events = known_events::parse(&document.known, &site).map_err(invalid)?;
     Ok(SchedulerConfig {
@@ -67,7 +68,7 @@
     problem.in_document(ConfigDocument::SchedulerFile)
 }
 
-/// The memory limit in whole MB, inside its range.
+/// Returns the memory limit in whole MB, clamped to its range.
 fn memory_limit(limits: &LimitsDocument) -> usize {
     limits.memory_mb.map_or(DEFAULT_MEMORY_MB, |megabytes| {
         megabytes.clamp(MIN_MEMORY_MB, MAX_MEMORY_MB) as usize
