--- a/src/config/settings/classes.rs
+++ b/src/config/settings/classes.rs
@@ -1,15 +1,15 @@
-//! The request classes of the settings: what they promise, and whether their requests may run twice.
+//! Request classes in the settings: their latency objectives, deadlines and idempotency.
 //!
-//! `key` is the path of a class in the document, for errors.
+//! In each function, `key` is the path of the class in the document, for error messages.
 
 use super::document::ClassDocument;
 use crate::config::error::ConfigProblem;
 use crate::model::{DeduplicationScope, Idempotency, RequestClass, Span};
 
-/// Priority weight of a class where the settings give none.
+/// Default priority weight of a class.
 const DEFAULT_PRIORITY_WEIGHT: f64 = 1.0;
 
-/// The classes in the order of the document; a request knows its class by its place.
+/// Parses the classes in the order of the document; a request refers to its class by index.
 pub(super) fn parse_classes(documents: &[ClassDocument]) -> Result<Vec<RequestClass>, ConfigProblem> {
     let numbered = documents.iter().enumerate();
     numbered
@@ -36,7 +36,7 @@
     }
 }
 
-/// A deduplicated class needs two more keys, which other classes may leave out.
+/// Parses the two further keys that a deduplicated class requires; other classes may omit them.
 fn parse_deduplication(key: &str, class: &ClassDocument) -> Result<Idempotency, ConfigProblem> {
     let missing = |missing_key| ConfigProblem::MissingKey {
         parent: key.to_owned(),
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -1,5 +1,5 @@
-//! From the deserialized form of the settings to the types that the program uses, a section each. The request
-//! classes are in [`super::classes`].
+//! Conversion of the settings from their deserialized form to the types that the program uses, section by
+//! section. Request classes are parsed in [`super::classes`].
 
 use super::classes::parse_classes;
 use super::document::{
@@ -12,7 +12,7 @@
     Settings, Site, Span, Tenant, ZoneId,
 };
 
-/// Weight of a request beyond its tenant's quota, relative to one within it, where the settings give none.
+/// Default weight of a request beyond its tenant's quota, relative to a request within it.
 const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 1.0;
 
 impl TryFrom<SettingsDocument> for Site {
@@ -132,7 +132,7 @@
     }
 }
 
-/// The metric that a load report names so; the policy ignores the values of those that it does not know.
+/// Returns the load report metric of this name; the policy ignores the values of [`LoadMetric::Other`].
 fn parse_load_metric(name: &str) -> LoadMetric {
     match name {
         "busy_reqs" => LoadMetric::InFlight,
@@ -151,7 +151,7 @@
     }
 }
 
-/// Whether the weights of workers in the endpoint list, which come from this source, are their capacities.
+/// Returns whether worker weights from this source, as given in the endpoint list, are capacities.
 fn weights_are_capacities(weight_source: &str) -> bool {
     matches!(weight_source, "nominal" | "rough")
 }
--- a/src/config/settings/document.rs
+++ b/src/config/settings/document.rs
@@ -1,23 +1,23 @@
-//! The deserialized form of the settings. Only here are keys named as on the wire; `docs/configuration.md` lists
-//! them with their meaning.
+//! Deserialized form of the settings. Only this module uses the key names of the wire format, which
+//! `docs/configuration.md` describes.
 //!
-//! `expecting` keeps the texts of type errors independent of the names of these types. Keys that are not
-//! listed are ignored. Times are in nanoseconds.
+//! The `expecting` attributes keep the texts of type errors independent of the type names. Unknown keys are
+//! ignored. Times are in nanoseconds.
 
 use serde::Deserialize;
 
-/// Attempts on one connection at a time where the settings give no limit.
+/// Default maximum number of concurrent attempts per connection.
 const DEFAULT_ATTEMPTS_PER_CONNECTION: usize = 32;
-/// Open requests where the settings give no limit.
+/// Default maximum number of open requests.
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 4096;
-/// Time after which workers close idle connections where the settings give none: 15 s.
+/// Default time after which workers close idle connections, in nanoseconds: 15 s.
 const DEFAULT_IDLE_TIMEOUT_NS: u64 = 15_000_000_000;
-/// Time limit for establishing a connection where the settings give none: 250 ms.
+/// Default time limit for establishing a connection, in nanoseconds: 250 ms.
 const DEFAULT_CONNECT_TIMEOUT_NS: u64 = 250_000_000;
-/// Time limit of a load order where the settings give none: 10 s.
+/// Default time limit of a load order, in nanoseconds: 10 s.
 const DEFAULT_LOAD_TIMEOUT_NS: u64 = 10_000_000_000;
 
-/// Time for which a draining worker may still be given new work where the settings give none: 500 ms.
+/// Default grace period in which a draining worker may still be given new work, in nanoseconds: 500 ms.
 const DEFAULT_DRAIN_GRACE_NS: u64 = 500_000_000;
 
 #[derive(Deserialize)]
@@ -132,7 +132,7 @@
     pub(super) may_order: bool,
     #[serde(default, rename = "memoryMbByKind")]
     pub(super) worker_memory_mb: Vec<f64>,
-    /// Zero where load orders are not limited.
+    /// Zero if the load rate limit is disabled.
     #[serde(rename = "loadSpanNs")]
     pub(super) rate_limit_window_ns: u64,
     #[serde(default, rename = "loadsAnyway")]
--- a/src/config/settings/mod.rs
+++ b/src/config/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The site's settings: JSON as the platform's file contains it and as the simulator sends it (page WIRE,
+//! The site's settings: JSON that is embedded in the platform's file and that the simulator sends (page WIRE,
 //! "Start-up settings").
 
 mod classes;
@@ -9,20 +9,21 @@
 use crate::model::{Settings, Site};
 use document::SettingsDocument;
 
-/// Parses the settings that the policy needs.
+/// Parses the settings of the policy.
 ///
 /// # Errors
 ///
-/// A required key is missing, or a value has another type or is not among those listed for its key.
+/// Returns an error if a required key is missing, or a value has the wrong type or is not one of those
+/// defined for its key.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, ConfigError> {
     parse_site(json).map(|site| site.settings)
 }
 
-/// Parses the settings with what connections need of them.
+/// Parses all settings: those of the policy and those of connections and requests.
 ///
 /// # Errors
 ///
-/// As [`parse_settings`].
+/// Returns an error in the same cases as [`parse_settings`].
 pub fn parse_site(json: &[u8]) -> Result<Site, ConfigError> {
     parse(json).map_err(|problem| problem.in_document(ConfigDocument::Settings))
 }
