--- a/src/discovery/codec.rs
+++ b/src/discovery/codec.rs
@@ -1,11 +1,11 @@
-//! Wire codec of the endpoint watch: length-prefixed binary frames, all numbers big-endian and unsigned.
+//! Wire codec of the endpoint watch: length-prefixed binary frames with big-endian unsigned integers.
 //!
 //! ```text
-//! frame  = length:4 offset:8 kind:1 record*     length counts all that follows it
+//! frame  = length:4 offset:8 kind:1 record*     length of everything after this field
 //! record = worker:4 address:4 port:2 state:1 zone:1 kind:1 cell:2 weight:4 started:8
 //! ```
 //!
-//! The format is that of "The event bus" in the platform's protocol page.
+//! The page PROTOCOL, "The event bus", defines the format.
 
 use super::event::{EndpointRecord, WatchEvent, started_at};
 use crate::model::{
@@ -16,22 +16,22 @@
 
 /// Length of a frame's length field, in bytes.
 pub(crate) const LENGTH_FIELD_LENGTH: usize = 4;
-/// Largest value of the length field that is accepted, in bytes: enough for some 38,000 records.
+/// Largest accepted value of the length field, in bytes: enough for about 38,000 records.
 pub(crate) const MAX_FRAME_LENGTH: usize = 1 << 20;
-/// Length of the fields offset and kind together, in bytes: the smallest value of the length field.
+/// Combined length of the offset and kind fields, in bytes: the smallest valid value of the length field.
 const HEADER_LENGTH: usize = 9;
 /// Length of a record, in bytes.
 const RECORD_LENGTH: usize = 27;
-/// The weight field counts in these parts of one.
+/// Value of the weight field that stands for a weight of 1.
 const WEIGHT_SCALE: f64 = 1000.0;
 
-/// Where the fields of a frame begin, in bytes after the length field.
+/// Offsets of the frame fields, in bytes after the length field.
 mod frame_field {
     pub(super) const OFFSET: usize = 0;
     pub(super) const KIND: usize = 8;
 }
 
-/// Where the fields of a record begin, in bytes.
+/// Offsets of the record fields, in bytes.
 mod record_field {
     pub(super) const WORKER: usize = 0;
     pub(super) const ADDRESS: usize = 4;
@@ -44,63 +44,63 @@
     pub(super) const STARTED_AT: usize = 19;
 }
 
-/// Wire values of a frame's kind.
+/// Wire values of the frame kind.
 mod frame_kind {
     pub(super) const HEARTBEAT: u8 = 0;
     pub(super) const SNAPSHOT: u8 = 1;
     pub(super) const DELTA: u8 = 2;
 }
 
-/// Wire values of a record's state.
+/// Wire values of the worker state in a record.
 mod record_state {
     pub(super) const READY: u8 = 0;
     pub(super) const DRAINING: u8 = 1;
     pub(super) const GONE: u8 = 2;
 }
 
-/// Why received bytes are not a frame. The connection is of no further use.
+/// An error in decoding a frame. The connection cannot be used any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum DecodeError {
-    /// The length field is shorter than a header or above [`MAX_FRAME_LENGTH`].
+    /// The length field is smaller than the header or exceeds [`MAX_FRAME_LENGTH`].
     #[error("length out of range")]
     LengthOutOfRange,
-    /// The frame's kind has no meaning.
+    /// The frame kind is not defined.
     #[error("unknown kind")]
     UnknownFrameKind,
-    /// The frame's end lies within a record.
+    /// The frame ends within a record.
     #[error("a record is cut short")]
     TruncatedRecord,
-    /// A record's state has no meaning.
+    /// The worker state in a record is not defined.
     #[error("unknown state")]
     UnknownState,
 }
 
-/// What a frame says.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Frame {
-    /// Nothing has changed since the event of this number; the connection works.
+    /// No event has been published since the one with this number; the connection works.
     Heartbeat {
-        /// The number of the last event that the service has.
+        /// Number of the last event that the service has.
         last_offset: u64,
     },
     /// The endpoint list has changed.
     Event(WatchEvent),
 }
 
-/// A frame and its length on the wire.
+/// A decoded frame and its length on the wire.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct DecodedFrame {
-    /// The frame.
+    /// The content of the frame.
     pub(crate) frame: Frame,
-    /// Length of the frame in bytes, with its length field.
+    /// Length of the frame in bytes, including its length field.
     pub(crate) encoded_length: usize,
 }
 
-/// Decodes the frame at the start of a buffer; `Ok(None)` while it is incomplete.
+/// Decodes the frame at the start of `buffer`; returns `Ok(None)` if it is incomplete.
 ///
 /// # Errors
 ///
-/// [`DecodeError`] where the bytes can't become a frame whatever follows them.
+/// Returns a [`DecodeError`] if no further bytes can complete the buffer to a valid frame.
 pub(crate) fn decode_frame(buffer: &[u8]) -> Result<Option<DecodedFrame>, DecodeError> {
     let Some((length_field, rest)) = buffer.split_first_chunk() else {
         return Ok(None);
@@ -119,7 +119,7 @@
     }))
 }
 
-/// Decodes what follows the length field.
+/// Decodes the part of a frame after the length field.
 fn decode_body(header: &[u8; HEADER_LENGTH], records: &[u8]) -> Result<Frame, DecodeError> {
     let offset = u64::from_be_bytes(bytes_at(header, frame_field::OFFSET));
     let kind = match header[frame_field::KIND] {
@@ -166,7 +166,7 @@
     })
 }
 
-/// The `N` bytes of a field that begins at `offset`.
+/// Returns the `N` bytes of the field at `offset`.
 fn bytes_at<const N: usize>(fields: &[u8], offset: usize) -> [u8; N] {
     std::array::from_fn(|index| fields[offset + index])
 }
