--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list: which workers there are and where they listen.
+//! The endpoint list: the known workers and their addresses.
 //!
-//! The list is fed by watch events and by the workers of the operator's file, which the watch knows nothing
-//! of. Each input gives an [`EndpointChange`]: what the scheduler is given and which addresses the connection
-//! pool has to take up or drop.
+//! The list is updated by watch events and by the workers of the operator's file, which are not part of the
+//! watch. Each update results in an [`EndpointChange`]: the entries to pass to the scheduler, and the
+//! addresses that the connection pool has to add or remove.
 
 use super::event::{EndpointRecord, WatchEvent};
 use crate::model::{Endpoint, EndpointState, EndpointUpdateKind, Time, WorkerId};
@@ -10,14 +10,14 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// What one input to the list changes.
+/// The result of one update of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointChange {
-    /// Whether `endpoints` is the complete list or only what has changed.
+    /// Whether `endpoints` is the complete list or only contains changes.
     pub(crate) kind: EndpointUpdateKind,
-    /// The list's entries, in the order in which the scheduler is given them.
+    /// Entries of the list, in the order in which they are passed to the scheduler.
     pub(crate) endpoints: Vec<Endpoint>,
-    /// Changes of addresses, in the order in which they are applied; all of them before `endpoints`.
+    /// Changes of addresses, in the order in which they are applied; all are applied before `endpoints`.
     pub(crate) address_changes: Vec<AddressChange>,
 }
 
@@ -31,23 +31,23 @@
     }
 }
 
-/// What becomes of a worker's address.
+/// A change of a worker's address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AddressChange {
     /// The worker listens at this TCP address.
     Assigned {
-        /// Which worker.
+        /// Id of the worker.
         worker: WorkerId,
-        /// Where it listens.
+        /// Address on which it listens.
         address: SocketAddr,
-        /// When its process started, if that is known; another start means another process.
+        /// Start time of its process, if known; a different start time means a different process.
         started_at: Option<Time>,
     },
-    /// The worker is gone, with its address.
+    /// The worker is gone, and its address is no longer used.
     Removed(WorkerId),
 }
 
-/// The process that a worker's id stands for.
+/// The process that a worker id refers to.
 #[derive(Clone, Copy, Debug)]
 struct Process {
     worker: WorkerId,
@@ -55,19 +55,19 @@
     started_at: Option<Time>,
 }
 
-/// The endpoint list.
+/// The endpoint list, with the addresses of the workers that watch events have named.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointList {
-    /// Workers that watch events have named and that are not gone.
+    /// Workers that watch events have named and that are not gone, by id.
     watched: BTreeMap<WorkerId, Process>,
-    /// The same workers by their addresses. Only a draining worker shares its address with another.
+    /// The same workers by address. Only a draining worker shares its address with another worker.
     watched_by_address: HashMap<SocketAddr, BTreeSet<WorkerId>>,
-    /// Workers of the operator's file. A complete list of the watch leaves them in place.
+    /// Workers of the operator's file. A snapshot from the watch does not remove them.
     configured: Vec<Endpoint>,
 }
 
 impl EndpointList {
-    /// A list of the statically configured workers alone.
+    /// Creates a list that contains only the statically configured workers.
     pub(crate) fn new(configured: Vec<Endpoint>) -> EndpointList {
         EndpointList {
             watched: BTreeMap::new(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The change that makes the statically configured workers known at the start, if there are any.
+    /// Returns the change that adds the statically configured workers at startup, if there are any.
     pub(crate) fn initial_change(&self) -> Option<EndpointChange> {
         if self.configured.is_empty() {
             return None;
@@ -86,7 +86,7 @@
         Some(change)
     }
 
-    /// Replaces the statically configured workers; `None` where there were and are none.
+    /// Replaces the statically configured workers; returns `None` if there were none before and are none now.
     pub(crate) fn set_configured(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
         let previous = std::mem::replace(&mut self.configured, configured);
         let configured: BTreeSet<WorkerId> = self.configured_workers().collect();
@@ -107,8 +107,10 @@
         (!change.endpoints.is_empty()).then_some(change)
     }
 
-    /// Applies a watch event. A complete list ends every worker that it leaves out, save the statically
-    /// configured ones; a delta changes the workers that it names.
+    /// Applies a watch event.
+    ///
+    /// A snapshot removes all workers that it omits, except the statically configured ones. A delta only
+    /// changes the workers that it names.
     pub(crate) fn apply_watch_event(&mut self, event: WatchEvent) -> EndpointChange {
         let mut change = EndpointChange::new(event.kind);
         if event.kind == EndpointUpdateKind::Snapshot {
@@ -123,8 +125,9 @@
         change
     }
 
-    /// Drops the workers that a complete list leaves out. The scheduler finds them missing from the list
-    /// itself.
+    /// Removes the workers that a snapshot omits.
+    ///
+    /// `change.endpoints` gets no entries for them: the scheduler finds them missing from the snapshot.
     fn remove_unlisted(&mut self, records: &[EndpointRecord], change: &mut EndpointChange) {
         let listed = records.iter().map(|record| record.endpoint.worker);
         let remaining: BTreeSet<WorkerId> = listed.chain(self.configured_workers()).collect();
@@ -139,11 +142,12 @@
         }
     }
 
-    /// Applies one record, and settles whose address it is.
+    /// Applies one record and resolves conflicts over its address.
     ///
-    /// An address belongs to one process at a time. Where a ready worker is listed at the address of another
-    /// one, the process that started later has it, and the other worker is gone, published or not: requests
-    /// sent under its id would reach the later process unnoticed.
+    /// An address belongs to one process at a time. If a ready worker is listed at the address of another
+    /// worker, the process that started later owns the address, and the other worker is treated as gone even
+    /// if the discovery service has not published that: requests sent under its id would reach the later
+    /// process unnoticed.
     fn apply_record(&mut self, record: EndpointRecord, change: &mut EndpointChange) {
         let EndpointRecord {
             mut endpoint,
@@ -170,7 +174,7 @@
         change.endpoints.push(endpoint);
     }
 
-    /// The first process of another worker that is listed at this address.
+    /// Returns the first process of another worker that is listed at `address`.
     fn other_process_at(&self, address: SocketAddr, worker: WorkerId) -> Option<Process> {
         let workers = self.watched_by_address.get(&address)?;
         let other = workers.iter().find(|other| **other != worker)?;
@@ -201,7 +205,7 @@
         change.address_changes.push(AddressChange::Removed(worker));
     }
 
-    /// Forgets what was listed of a worker, if anything was.
+    /// Deletes the process of a worker and its address, if the worker was listed.
     fn forget(&mut self, worker: WorkerId) {
         let Some(process) = self.watched.remove(&worker) else {
             return;
