--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! Service discovery: which workers there are, and where they listen.
+//! Service discovery: finds the workers and the addresses on which they listen.
 //!
-//! The platform's discovery service publishes the endpoint list as numbered watch events. `Discovery` watches it: it
-//! owns the connection, its backoff and its move to another address, and the endpoint list that the events
-//! make up. The server takes changes from it one by one and applies them. The wire format is in `codec`,
-//! a single connection in `watch_connection`, the list in `endpoint_list`.
+//! The platform's discovery service publishes the endpoint list as numbered watch events. `Discovery`
+//! receives them: it manages the watch connection with its backoff and address changes, and maintains the
+//! endpoint list that results from the events. The server takes changes from it one by one and applies them.
+//! The wire format is in `codec`, a single connection in `watch_connection`, and the list in `endpoint_list`.
 
 mod codec;
 mod endpoint_list;
@@ -28,31 +28,33 @@
 use tracing::warn;
 use watch_connection::{StatusChange, WatchConnection, WatchQueue};
 
-/// Delays before a new connection. They stay short: what the discovery service publishes counts as known to the
-/// scheduler whether it is connected or not.
+/// Backoff between watch connections. The delays are short because a published change counts as known to the
+/// scheduler even while it is disconnected.
 const RECONNECT_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(100), 2);
-/// Buffers of a connection: input for the largest frame; nearly no output, as only an offset is sent.
+/// Buffer limits of a watch connection, in bytes. The input buffer holds the largest frame; the output buffer
+/// is small, as only an offset is sent.
 const BUFFER_LIMITS: BufferLimits = BufferLimits {
     input: LENGTH_FIELD_LENGTH + MAX_FRAME_LENGTH,
     output: 4096,
 };
 
-/// The watch of the endpoint list, and the list.
+/// The watch of the endpoint list, and the list itself.
 pub(crate) struct Discovery {
     endpoints: EndpointList,
-    /// Where the discovery service listens. Without an address the list changes on reloads only.
+    /// Address of the discovery service. Without an address, the list only changes on configuration reloads.
     watch_address: Option<SocketAddr>,
-    /// Shared with the current connection, and with no earlier one after a move.
+    /// Shared with the current connection. After an address change, earlier connections keep the old queue.
     queue: Rc<RefCell<WatchQueue>>,
-    /// When to begin the next connection, once that is known.
+    /// Time at which to open the next connection; `None` if none is scheduled.
     reconnect_at: Option<Time>,
-    /// The last connection that was begun; it may have ended.
+    /// The most recently opened connection; it may have closed.
     connection: Option<ConnectionId>,
 }
 
 impl Discovery {
-    /// Begins with the workers of the operator's file and the events that the configuration holds. The first
-    /// connection to the discovery service is due at `now`.
+    /// Creates the watch with the workers of the operator's file and the events in the configuration.
+    ///
+    /// The first connection to the discovery service is due at `now`.
     pub(crate) fn new(
         watch_address: Option<SocketAddr>,
         known: Vec<WatchEvent>,
@@ -75,38 +77,39 @@
         }
     }
 
-    /// The number of the last event received.
+    /// Returns the number of the last event received.
     pub(crate) fn last_offset(&self) -> u64 {
         self.queue.borrow().last_offset
     }
 
-    /// When [`Discovery::poll_watch`] has something to do although no connection calls back.
+    /// Returns the time at which [`Discovery::poll_watch`] must be called even without a connection event.
     pub(crate) fn next_timer(&self) -> Option<Time> {
         self.reconnect_at
     }
 
-    /// The change that makes the statically configured workers known at the start, if there are any.
+    /// Returns the change that adds the statically configured workers at startup, if there are any.
     pub(crate) fn initial_change(&self) -> Option<EndpointChange> {
         self.endpoints.initial_change()
     }
 
-    /// Applies the next event that has been received, if there is one.
+    /// Applies the next queued event, if there is one, and returns the resulting change.
     pub(crate) fn next_change(&mut self) -> Option<EndpointChange> {
         let event = self.queue.borrow_mut().events.pop_front()?;
         Some(self.endpoints.apply_watch_event(event))
     }
 
-    /// What became of the watch next, to be reported once [`Discovery::next_change`] has given all events.
+    /// Returns the next status change of the watch, to be reported after [`Discovery::next_change`] has
+    /// returned all changes.
     pub(crate) fn next_status_change(&mut self) -> Option<StatusChange> {
         self.queue.borrow_mut().status_changes.pop_front()
     }
 
-    /// Replaces the statically configured workers; `None` where there were and are none.
+    /// Replaces the statically configured workers; returns `None` if there were none before and are none now.
     pub(crate) fn set_configured(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
         self.endpoints.set_configured(configured)
     }
 
-    /// Begins a connection to the discovery service when there is none and its time has come.
+    /// Opens a connection to the discovery service if there is none and the next one is due.
     pub(crate) fn poll_watch(&mut self, now: Time, reactor: &mut Reactor) {
         let Some(address) = self.watch_address else {
             self.reconnect_at = None;
@@ -122,8 +125,10 @@
         }
     }
 
-    /// Takes the events that a reloaded configuration holds, as far as they continue what has been received:
-    /// the discovery service goes on counting, and a delta is of use only directly after the event before it.
+    /// Queues those events of a reloaded configuration that continue the events received so far.
+    ///
+    /// The discovery service keeps counting across reloads. A snapshot applies after any earlier event; a
+    /// delta only applies directly after the event before it.
     pub(crate) fn merge_known_events(&mut self, known: Vec<WatchEvent>) {
         let mut queue = self.queue.borrow_mut();
         for event in known {
@@ -135,15 +140,19 @@
         }
     }
 
-    /// Sets the address for the connections that are begun from now on; true if it is another than before.
-    /// Then [`Discovery::restart_watch`] is to follow.
+    /// Sets the address of the discovery service for later connections; returns whether it has changed.
+    ///
+    /// If it has, the caller must call [`Discovery::restart_watch`] next.
     pub(crate) fn set_address(&mut self, address: Option<SocketAddr>) -> bool {
         let previous = std::mem::replace(&mut self.watch_address, address);
         previous != address
     }
 
-    /// Ends the present connection, as the old address publishes nothing more, and has the next one begun at
-    /// once. It continues after the last event received; the end of the old one neither counts nor delays it.
+    /// Closes the current connection, as the old address publishes nothing more, and schedules a new one
+    /// immediately.
+    ///
+    /// The new connection continues after the last event received. The closed connection does not count as a
+    /// failure and causes no backoff.
     pub(crate) fn restart_watch(&mut self, now: Time, reactor: &mut Reactor) {
         let pending = std::mem::take(&mut self.queue.borrow_mut().events);
         let mut queue = WatchQueue::new(pending, self.last_offset());
@@ -160,7 +169,7 @@
         self.reconnect_at = Some(now);
     }
 
-    /// Sets the time of the next connection if the last one has ended.
+    /// Schedules the next connection if the last one has closed.
     fn schedule_reconnect(&mut self, now: Time) {
         let mut queue = self.queue.borrow_mut();
         if !std::mem::take(&mut queue.disconnected) {
@@ -173,8 +182,9 @@
         self.reconnect_at = Some(now + delay);
     }
 
-    /// Sets the time of the next connection after one that the system refused to begin. Such a failure counts
-    /// itself as an earlier one, so that its delay starts one step higher.
+    /// Schedules the next connection after one that the operating system refused to open.
+    ///
+    /// Such a failure counts as an earlier failure for its own delay, which therefore starts one step higher.
     fn schedule_after_immediate_failure(&mut self, now: Time) {
         let mut queue = self.queue.borrow_mut();
         queue.disconnected = false;
@@ -182,7 +192,7 @@
         self.reconnect_at = Some(now + RECONNECT_BACKOFF.delay(queue.consecutive_failures));
     }
 
-    /// Begins a connection; none if it failed at once.
+    /// Opens a connection; returns `None` if this fails immediately.
     fn connect(&self, address: SocketAddr, now: Time, reactor: &mut Reactor) -> Option<ConnectionId> {
         let stream = match reactor.connect(address) {
             Ok(stream) => stream,
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection of the endpoint watch.
+//! A single TCP connection of the endpoint watch.
 
 use super::codec::{DecodeError, Frame, decode_frame};
 use super::event::WatchEvent;
@@ -10,35 +10,36 @@
 use std::rc::Rc;
 use tracing::{debug, warn};
 
-/// A connection without a frame for this long counts as dead: the discovery service sends a heartbeat each second.
+/// Time without a frame after which a connection counts as dead; the discovery service sends a heartbeat
+/// every second.
 pub(super) const WATCH_SILENCE_TIMEOUT: Span = Span::from_millis(2_500);
 
-/// What became of the watch, and when.
+/// A status change of the watch and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StatusChange {
-    /// When it happened, or the latest time before which it cannot have happened.
+    /// Time of the change, or the latest time before which it cannot have happened.
     pub(crate) at: Time,
-    /// What happened.
+    /// The new status.
     pub(crate) status: WatchStatus,
 }
 
-/// What a connection of the watch leaves for [`Discovery`](super::Discovery), which shares it.
+/// Queue of received events and status changes, shared by a connection and [`Discovery`](super::Discovery).
 #[derive(Debug)]
 pub(super) struct WatchQueue {
-    /// Events in order, not yet applied.
+    /// Events that have not been applied yet, in order.
     pub(super) events: VecDeque<WatchEvent>,
-    /// What became of the watch, in order; not yet reported. It holds once the events have been applied.
+    /// Status changes that have not been reported yet, in order. They hold once the events have been applied.
     pub(super) status_changes: VecDeque<StatusChange>,
-    /// The number of the last event received; a new connection continues after it.
+    /// Number of the last event received; a new connection continues after it.
     pub(super) last_offset: u64,
-    /// The connection has ended and no other has been scheduled yet.
+    /// Whether the connection has closed and no other has been scheduled yet.
     pub(super) disconnected: bool,
-    /// Connections in a row that ended without a frame.
+    /// Number of consecutive connections that closed without having received a frame.
     pub(super) consecutive_failures: u32,
 }
 
 impl WatchQueue {
-    /// A queue for a watch that has no connection yet and has failed at none.
+    /// Creates a queue for a watch that has had neither a connection nor a failure.
     pub(super) fn new(events: VecDeque<WatchEvent>, last_offset: u64) -> WatchQueue {
         WatchQueue {
             events,
@@ -49,12 +50,13 @@
         }
     }
 
-    /// Records what became of the watch.
+    /// Records a status change of the watch.
     pub(super) fn record_status(&mut self, at: Time, status: WatchStatus) {
         self.status_changes.push_back(StatusChange { at, status });
     }
 
-    /// Takes in what a frame says that cannot have come before `arrived_at`; whether it shows that the watch works.
+    /// Processes a frame that cannot have arrived before `arrived_at`; returns whether the frame shows that
+    /// the watch works.
     fn receive(&mut self, frame: Frame, arrived_at: Time) -> bool {
         match frame {
             Frame::Heartbeat { last_offset } if !self.confirms_list(last_offset) => {
@@ -66,7 +68,7 @@
                 return false;
             }
             Frame::Heartbeat { .. } => self.record_status(arrived_at, WatchStatus::Confirmed),
-            // A new connection may repeat events; the list only moves forward.
+            // A new connection may repeat events, which must not be applied again.
             Frame::Event(event) if event.offset <= self.last_offset => {}
             Frame::Event(event) => {
                 self.record_status(arrived_at, WatchStatus::EventReceived);
@@ -76,27 +78,30 @@
         true
     }
 
-    /// Whether a heartbeat confirms the list: a service with fewer events cannot say that there are no others, and one
-    /// with more has not sent them all. Zero says nothing.
+    /// Returns whether a heartbeat with this offset is consistent with the list.
+    ///
+    /// A service that has fewer events cannot know whether there are others, and one that has more events has
+    /// not sent them all. Zero carries no information and is accepted.
     fn confirms_list(&self, last_offset: u64) -> bool {
         last_offset == self.last_offset || last_offset == 0
     }
 
-    /// Appends an event.
+    /// Appends an event to the queue.
     pub(super) fn push(&mut self, event: WatchEvent) {
         self.last_offset = self.last_offset.max(event.offset);
         self.events.push_back(event);
     }
 }
 
-/// A connection to the discovery service: asks for the events after the last one received, and queues them.
+/// A connection to the discovery service, which requests the events after the last one received and queues
+/// them.
 pub(super) struct WatchConnection {
     queue: Rc<RefCell<WatchQueue>>,
     silence_deadline: Time,
 }
 
 impl WatchConnection {
-    /// A connection that is being established at `now`.
+    /// Creates the state of a connection that is being established at `now`.
     pub(super) fn new(queue: Rc<RefCell<WatchQueue>>, now: Time) -> WatchConnection {
         WatchConnection {
             queue,
