--- a/src/discovery/tests/codec.rs
+++ b/src/discovery/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The wire codec.
+//! Tests of the wire codec.
 
 use crate::discovery::codec::{DecodeError, DecodedFrame, Frame, MAX_FRAME_LENGTH, decode_frame};
 use crate::discovery::event::{EndpointRecord, WatchEvent, started_at};
@@ -83,7 +83,7 @@
     let decoded = decode_frame(&buffer).unwrap().unwrap();
     assert_eq!(decoded.encoded_length, first.len());
     let Frame::Event(event) = decoded.frame else {
-        panic!("a heartbeat in place of an event");
+        panic!("expected an event, decoded a heartbeat");
     };
     assert_eq!(event.kind, EndpointUpdateKind::Snapshot);
     assert!(event.endpoints.is_empty());
--- a/src/discovery/tests/endpoint_list.rs
+++ b/src/discovery/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list.
+//! Tests of the endpoint list.
 
 use super::{address, delta, endpoint, record, snapshot, started_endpoint};
 use crate::discovery::endpoint_list::{AddressChange, EndpointChange, EndpointList};
@@ -16,7 +16,7 @@
     AddressChange::Removed(WorkerId(worker))
 }
 
-/// The entry of a worker whose address another one has taken over.
+/// Returns the entry of a worker whose address another worker has taken over.
 fn replaced(worker: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
--- a/src/discovery/tests/mod.rs
+++ b/src/discovery/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of discovery: the wire codec, the endpoint list, and the watch with its backoff and moves.
+//! Tests of discovery: the wire codec, the endpoint list, and the watch with its backoff and address changes.
 
 mod codec;
 mod endpoint_list;
--- a/src/discovery/tests/watch/address_change.rs
+++ b/src/discovery/tests/watch/address_change.rs
@@ -1,4 +1,4 @@
-//! The watch after its discovery service has moved to another address.
+//! Tests of the watch after a change of the discovery service's address.
 
 use super::{Watch, immediately_refused_address, listen, unused_address};
 use crate::discovery::tests::{delta, endpoint, record, snapshot};
@@ -22,9 +22,9 @@
         0,
         "the old connection is closed"
     );
-    assert_eq!(watch.delay_after_poll(now), None, "the new one is begun");
+    assert_eq!(watch.delay_after_poll(now), None, "a new connection is opened");
     let (_stream, offset) = watch.run_until_accepted(&new);
-    assert_eq!(offset, 5, "it continues after the last event");
+    assert_eq!(offset, 5, "it continues after the last event received");
     let queue = watch.discovery.queue.borrow();
     assert_eq!(queue.consecutive_failures, 0);
     assert!(!queue.disconnected);
@@ -37,7 +37,7 @@
     assert_eq!(watch.delay_after_poll(now), Some(Span::from_millis(200)));
     assert!(watch.discovery.set_address(Some(unused_address())));
     watch.restart(now);
-    assert_eq!(watch.delay_after_poll(now), None, "begun at once");
+    assert_eq!(watch.delay_after_poll(now), None, "a new connection is opened");
     watch.run_until_disconnected();
     assert_eq!(watch.delay_after_poll(now), Some(Span::from_millis(100)));
 }
--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -1,4 +1,4 @@
-//! Which events the watch takes, from its connection and from the configuration.
+//! Tests of which events the watch accepts from its connection and from the configuration.
 
 use super::{Watch, empty_delta, listen};
 use crate::discovery::Discovery;
@@ -15,11 +15,11 @@
     watch.discovery.merge_known_events(vec![snapshot(2, vec![])]);
     assert!(
         next_change(&mut watch),
-        "a complete list needs no event before it"
+        "a snapshot does not require the event before it"
     );
     let repeated = vec![snapshot(1, vec![]), snapshot(2, vec![]), delta(2, vec![])];
     watch.discovery.merge_known_events(repeated);
-    assert!(!next_change(&mut watch), "received before");
+    assert!(!next_change(&mut watch), "already received");
     watch
         .discovery
         .merge_known_events(vec![delta(3, vec![]), delta(4, vec![]), delta(6, vec![])]);
@@ -67,5 +67,5 @@
     stream.write_all(&[empty_delta(1), undecodable].concat()).unwrap();
     watch.run_until_disconnected();
     assert_eq!(watch.reactor.shared.scheduler.counters().decode_errors, 1);
-    assert_eq!(watch.discovery.last_offset(), 1, "what came before it is used");
+    assert_eq!(watch.discovery.last_offset(), 1, "frames before it are processed");
 }
--- a/src/discovery/tests/watch/mod.rs
+++ b/src/discovery/tests/watch/mod.rs
@@ -1,4 +1,4 @@
-//! The watch, against listeners of the test in place of the discovery service.
+//! Tests of the watch, with listeners of the test in place of the discovery service.
 
 mod address_change;
 mod events;
@@ -14,9 +14,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The system refuses at once to begin a TCP connection to a broadcast address.
+/// A broadcast address, to which the operating system refuses TCP connections immediately.
 const BROADCAST_ADDRESS: &str = "127.255.255.255:1";
-/// Bounds a wait on a socket; no test depends on its length.
+/// Upper bound on waiting for a socket; no test depends on its value.
 const SOCKET_TIMEOUT: Duration = Duration::from_secs(20);
 const SITE: &[u8] = br#"{"fleetSize": 1, "index": 0, "classes": [], "bounds": {"mostTries": 1},
     "contract": {"coldFrom": 1, "coldNs": 1, "fallMultiple": 1, "fallNs": 1},
@@ -41,21 +41,21 @@
         self.discovery.poll_watch(now, &mut self.reactor);
     }
 
-    /// Polls, and gives the delay until the next connection.
+    /// Polls and returns the delay until the next connection, if one is scheduled.
     fn delay_after_poll(&mut self, now: Time) -> Option<Span> {
         self.poll(now);
         self.discovery.next_timer().map(|at| at - now)
     }
 
-    /// Lets connections call back until the present one has ended.
+    /// Polls the reactor until the current connection has closed.
     fn run_until_disconnected(&mut self) {
         while !self.discovery.queue.borrow().disconnected {
             self.reactor.poll(None).unwrap();
         }
     }
 
-    /// Lets connections call back until one has connected to the listener; the other end, and the offset
-    /// after which events are asked for.
+    /// Polls the reactor until the listener accepts a connection; returns the accepted stream and the offset
+    /// after which the watch requests events.
     fn run_until_accepted(&mut self, listener: &TcpListener) -> (TcpStream, u64) {
         while self.reactor.has_connection(self.connection()) {
             let soon = self.reactor.now() + Span::from_millis(10);
@@ -69,11 +69,11 @@
                 return (stream, u64::from_be_bytes(offset));
             }
         }
-        panic!("the connection has ended");
+        panic!("the connection has closed");
     }
 
     fn connection(&self) -> ConnectionId {
-        self.discovery.connection.expect("a connection was begun")
+        self.discovery.connection.expect("no connection has been opened")
     }
 
     fn restart(&mut self, now: Time) {
--- a/src/discovery/tests/watch/reconnect.rs
+++ b/src/discovery/tests/watch/reconnect.rs
@@ -1,4 +1,4 @@
-//! When the watch connects: at once, after a backoff, and after a silence.
+//! Tests of when the watch connects: immediately, after a backoff, and after the silence timeout.
 
 use super::{Watch, heartbeat, immediately_refused_address, listen, unused_address};
 use crate::discovery::watch_connection::{WatchConnection, WatchQueue};
@@ -22,7 +22,11 @@
     let (_listener, address) = listen();
     let mut watch = Watch::new(Some(address));
     let now = watch.reactor.now();
-    assert_eq!(watch.delay_after_poll(now), None, "a connection is coming up");
+    assert_eq!(
+        watch.delay_after_poll(now),
+        None,
+        "a connection is being established"
+    );
     assert_eq!(watch.reactor.connection_count(), 1);
     watch.poll(now + Span::from_millis(60_000));
     assert_eq!(watch.reactor.connection_count(), 1, "one at a time");
@@ -38,7 +42,7 @@
         let delay = watch.delay_after_poll(now);
         assert_eq!(delay, Some(Span::from_millis(expected)));
         now = now + Span::from_millis(expected);
-        assert_eq!(watch.delay_after_poll(now), None, "the next one is begun");
+        assert_eq!(watch.delay_after_poll(now), None, "the next connection is opened");
     }
 }
 
--- a/src/discovery/tests/watch/status.rs
+++ b/src/discovery/tests/watch/status.rs
@@ -1,4 +1,4 @@
-//! What the watch reports of itself, from which the age of the endpoint list follows.
+//! Tests of the status changes that the watch reports, which determine the age of the endpoint list.
 
 use super::{Watch, empty_delta, encode_frame, listen};
 use crate::discovery::tests::snapshot;
@@ -7,7 +7,7 @@
 
 const HEARTBEAT: u8 = 0;
 
-/// The statuses that have not been reported yet.
+/// Returns the statuses that have not been reported yet.
 fn statuses(watch: &mut Watch) -> Vec<WatchStatus> {
     let changes = std::iter::from_fn(|| watch.discovery.next_status_change());
     changes.map(|change| change.status).collect()
@@ -20,8 +20,8 @@
     assert_eq!(statuses(&mut watch), []);
 }
 
-/// Only what is new is reported: neither an event that came before, nor a heartbeat of a service that lacks events or has
-/// not sent them all, says that there are no others.
+/// A repeated event is not reported, nor is a heartbeat of a service that lacks events or has not sent all of
+/// them: neither shows that the endpoint list is complete.
 #[test]
 fn heartbeats_and_new_events_are_reported() {
     let (listener, address) = listen();
