--- a/src/vrrp/packet/tests.rs
+++ b/src/vrrp/packet/tests.rs
@@ -1,4 +1,4 @@
-//! Messages byte for byte, and each reason to drop one.
+//! Tests of encoded messages byte by byte, and of each decode error.
 
 use super::*;
 
@@ -11,7 +11,7 @@
     }
 }
 
-/// The example's message with a change, and the checksum that fits it.
+/// Returns the encoded example with a modification and the matching checksum.
 fn modified_message(change: fn(&mut Vec<u8>)) -> Vec<u8> {
     let mut message = example().encode();
     change(&mut message);
@@ -42,7 +42,7 @@
         (
             message[..11].to_vec(),
             DecodeError::AddressCountMismatch,
-            "length and count differ",
+            "length does not match the address count",
         ),
         (
             modified_message(|message| message[0] = 0x21),
@@ -57,16 +57,20 @@
         (
             modified_message(|message| message[3] = 2),
             DecodeError::AddressCountMismatch,
-            "length and count differ",
+            "length does not match the address count",
         ),
         (
             modified_message(|message| message[1] = 0),
             DecodeError::ZeroField,
-            "a field is zero",
+            "virtual router id or interval is zero",
+        ),
+        (
+            zero_interval,
+            DecodeError::ZeroField,
+            "virtual router id or interval is zero",
         ),
-        (zero_interval, DecodeError::ZeroField, "a field is zero"),
         (without_address, DecodeError::NoAddress, "no address"),
-        (wrong_priority, DecodeError::ChecksumMismatch, "checksum"),
+        (wrong_priority, DecodeError::ChecksumMismatch, "checksum mismatch"),
     ] {
         assert_eq!(Advertisement::decode(&message), Err(error), "{message:?}");
         assert_eq!(error.to_string(), text);
