--- a/src/vrrp/mod.rs
+++ b/src/vrrp/mod.rs
@@ -1,10 +1,10 @@
-//! VRRP version 3 (RFC 9568): which of several schedulers on a host is the active one.
+//! VRRP version 3 (RFC 9568): elects the active one of several schedulers on a host.
 //!
-//! [`StateMachine`] is the protocol's state machine without I/O, and [`packet`] the codec of its
-//! advertisements. Names and section numbers are those of the RFC.
+//! [`StateMachine`] implements the protocol's state machine without I/O, and [`packet`] contains the codec of
+//! the advertisements. Names and section numbers are those of the RFC.
 //!
-//! The server sends the advertisements over UDP to configured peers instead of IP multicast. It drops a
-//! datagram from any other sender; that replaces the protocol's check of the IP TTL (section 5.1.1.3).
+//! The server sends advertisements over UDP to configured peers instead of using IP multicast. It drops
+//! datagrams from all other senders; this replaces the protocol's check of the IP TTL (section 5.1.1.3).
 
 pub mod packet;
 mod state_machine;
--- a/src/vrrp/state_machine.rs
+++ b/src/vrrp/state_machine.rs
@@ -14,20 +14,20 @@
 /// section 5.2.4).
 pub const PRIORITY_STOPPED: u8 = 0;
 
-/// The skew time is (this minus the priority) 256ths of an interval (RFC 9568, section 6.1).
+/// Divisor of the skew time, which is (256 - priority) / 256 of an interval (RFC 9568, section 6.1).
 const SKEW_TIME_DIVISOR: u64 = 256;
-/// Intervals without an advertisement, before the skew time, after which the active router is down (RFC 9568,
-/// section 6.1).
+/// Number of intervals without an advertisement after which, plus the skew time, the active router is down
+/// (RFC 9568, section 6.1).
 const ACTIVE_DOWN_INTERVALS: u64 = 3;
 
-/// States of a virtual router (RFC 9568, section 6.4).
+/// The state of a virtual router (RFC 9568, section 6.4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not started, or shut down.
+    /// The router has not started, or has shut down.
     Initialize,
-    /// Monitors the advertisements of the active router.
+    /// The router monitors the advertisements of the active router.
     Backup,
-    /// Accepts new requests and sends advertisements.
+    /// The router accepts new requests and sends advertisements.
     Active,
 }
 
@@ -36,39 +36,39 @@
 pub struct Configuration {
     /// `Priority` in the election: 1 to 254, or [`PRIORITY_ADDRESS_OWNER`].
     pub priority: u8,
-    /// Time between the advertisements of this router while it is active (`Advertisement_Interval`).
+    /// Time between this router's advertisements while it is active (`Advertisement_Interval`).
     pub advertisement_interval: Span,
-    /// Whether it takes over from an active router of lower priority (`Preempt_Mode`).
+    /// Whether this router takes over from an active router of lower priority (`Preempt_Mode`).
     pub preempt: bool,
-    /// Primary address of this router: of two active routers with the same priority, the one with the higher
+    /// Primary address of this router. Of two active routers with equal priority, the one with the higher
     /// address stays active.
     pub primary_address: SocketAddr,
 }
 
-/// Input of the state machine.
+/// An input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The server has started.
     Startup,
-    /// The server shuts down.
+    /// The server is shutting down.
     Shutdown,
-    /// The time of [`StateMachine::next_timer`] has come.
+    /// The time that [`StateMachine::next_timer`] returns has been reached.
     TimerExpired,
     /// A valid advertisement for this virtual router has arrived.
     AdvertisementReceived {
-        /// Priority of its sender; [`PRIORITY_STOPPED`] where the sender shuts down.
+        /// Priority of the sender; [`PRIORITY_STOPPED`] if the sender shuts down.
         priority: u8,
-        /// Time between the advertisements of its sender (Max Advertise Interval).
+        /// Time between the sender's advertisements (Max Advertise Interval).
         interval: Span,
-        /// Primary address of its sender.
+        /// Primary address of the sender.
         sender: SocketAddr,
     },
 }
 
-/// Output of the state machine: an advertisement for all peers.
+/// An output of the state machine: an advertisement to send to all peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SendAdvertisement {
-    /// The priority that it carries.
+    /// Priority in the advertisement.
     pub priority: u8,
 }
 
@@ -77,15 +77,15 @@
 pub struct StateMachine {
     configuration: Configuration,
     state: State,
-    /// When the timer of the state fires: `Adver_Timer` in [`State::Active`], `Active_Down_Timer` in
+    /// Expiry time of the state's timer: `Adver_Timer` in [`State::Active`], `Active_Down_Timer` in
     /// [`State::Backup`] (RFC 9568, section 6.2).
     timer: Option<Time>,
-    /// Time between the advertisements of the active router, as these announce it (`Active_Adver_Interval`).
+    /// Time between the active router's advertisements, as stated in them (`Active_Adver_Interval`).
     active_advertisement_interval: Span,
 }
 
 impl StateMachine {
-    /// A router in [`State::Initialize`].
+    /// Creates a router in [`State::Initialize`].
     pub fn new(configuration: Configuration) -> StateMachine {
         StateMachine {
             state: State::Initialize,
@@ -95,19 +95,19 @@
         }
     }
 
-    /// The present state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// When [`Event::TimerExpired`] is due; `None` while no timer runs.
+    /// Returns the time at which [`Event::TimerExpired`] is due; `None` if no timer is running.
     pub fn next_timer(&self) -> Option<Time> {
         self.timer
     }
 
-    /// Processes an event; returns the advertisement that is to be sent, if any.
+    /// Processes an event and returns the advertisement to send, if any.
     ///
-    /// An [`Event::TimerExpired`] before the time of [`StateMachine::next_timer`] has no effect.
+    /// An [`Event::TimerExpired`] before the time that [`StateMachine::next_timer`] returns has no effect.
     pub fn handle(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         match self.state {
             State::Initialize => self.handle_in_initialize(now, event),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// RFC 9568, section 6.4.1.
+    /// Handles an event in [`State::Initialize`] (RFC 9568, section 6.4.1).
     fn handle_in_initialize(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         if event != Event::Startup {
             return None;
@@ -128,7 +128,7 @@
         None
     }
 
-    /// RFC 9568, section 6.4.2.
+    /// Handles an event in [`State::Backup`] (RFC 9568, section 6.4.2).
     fn handle_in_backup(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         match event {
             Event::Startup => None,
@@ -147,8 +147,10 @@
         }
     }
 
-    /// Handles an advertisement in [`State::Backup`]: restarts the timer, unless this router is to preempt the
-    /// sender. In that case the running timer expires and makes it active.
+    /// Handles an advertisement in [`State::Backup`]: restarts the timer unless this router is to preempt the
+    /// sender.
+    ///
+    /// A preempting router lets the timer expire, which makes it active.
     fn handle_advertisement_in_backup(&mut self, now: Time, priority: u8, interval: Span) {
         if self.owns_address() {
             return;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// RFC 9568, section 6.4.3.
+    /// Handles an event in [`State::Active`] (RFC 9568, section 6.4.3).
     fn handle_in_active(&mut self, now: Time, event: Event) -> Option<SendAdvertisement> {
         match event {
             Event::Startup => None,
@@ -183,8 +185,8 @@
         }
     }
 
-    /// Handles an advertisement in [`State::Active`]: returns to [`State::Backup`] if the sender outranks this
-    /// router.
+    /// Handles an advertisement in [`State::Active`]: returns to [`State::Backup`] if the sender takes
+    /// precedence over this router.
     fn handle_advertisement_in_active(
         &mut self,
         now: Time,
@@ -199,12 +201,13 @@
             self.transition_to_backup(now, interval);
             return None;
         }
-        // The sender shuts down or is to return to backup: it and the backups learn at once who is active.
+        // The sender is shutting down or must return to backup. An advertisement tells it and the backups
+        // immediately which router is active.
         self.advertise(now)
     }
 
-    /// Whether another active router takes precedence: by its priority, and by its primary address if the
-    /// priorities are equal.
+    /// Returns whether another active router takes precedence: by its priority, or by its primary address if
+    /// the priorities are equal.
     fn is_outranked_by(&self, priority: u8, sender: SocketAddr) -> bool {
         let own = &self.configuration;
         match priority.cmp(&own.priority) {
@@ -219,7 +222,7 @@
         self.timer = None;
     }
 
-    /// Monitors an active router that advertises at this interval; restarts `Active_Down_Timer`.
+    /// Starts monitoring an active router that advertises at this interval, and restarts `Active_Down_Timer`.
     fn transition_to_backup(&mut self, now: Time, active_advertisement_interval: Span) {
         self.state = State::Backup;
         self.active_advertisement_interval = active_advertisement_interval;
@@ -231,7 +234,7 @@
         self.advertise(now)
     }
 
-    /// Sends an advertisement and restarts `Adver_Timer`.
+    /// Returns an advertisement to send and restarts `Adver_Timer`.
     fn advertise(&mut self, now: Time) -> Option<SendAdvertisement> {
         self.timer = Some(now + self.configuration.advertisement_interval);
         Some(SendAdvertisement {
@@ -247,13 +250,14 @@
         self.configuration.priority == PRIORITY_ADDRESS_OWNER
     }
 
-    /// `Skew_Time`: the higher the priority, the sooner a backup router takes over.
+    /// Returns `Skew_Time`: the higher the priority, the sooner a backup router takes over.
     fn skew_time(&self) -> Span {
         let inverse_priority = SKEW_TIME_DIVISOR - u64::from(self.configuration.priority);
         Span(inverse_priority * self.active_advertisement_interval.0 / SKEW_TIME_DIVISOR)
     }
 
-    /// `Active_Down_Interval`: time without an advertisement after which the active router is down.
+    /// Returns `Active_Down_Interval`: the time without an advertisement after which the active router is
+    /// down.
     fn active_down_interval(&self) -> Span {
         Span(ACTIVE_DOWN_INTERVALS * self.active_advertisement_interval.0 + self.skew_time().0)
     }
--- a/src/vrrp/state_machine/tests.rs
+++ b/src/vrrp/state_machine/tests.rs
@@ -1,13 +1,14 @@
-//! Every event in every state, with its effect on the state, the timer and the wire.
+//! Tests of each event in each state: the next state, the timer and the advertisement sent.
 
 use super::*;
 
-/// Primary address of the router under test; the last byte of a peer's decides between equal priorities.
+/// Primary address of the router under test. If priorities are equal, the last byte of a peer's address
+/// decides which router takes precedence.
 const OWN_ADDRESS: &str = "127.0.0.5:9112";
 const LOWER_ADDRESS: u8 = 1;
 const HIGHER_ADDRESS: u8 = 9;
 
-/// When the event of a case happens and the running timer expires, in milliseconds.
+/// Time at which the event of a case happens and the running timer expires, in milliseconds.
 const NOW: u64 = 10_000;
 
 fn milliseconds(count: u64) -> Time {
@@ -33,7 +34,7 @@
     }
 }
 
-/// The router and the event of a case.
+/// The initial state of the router and the event of a test case.
 struct TransitionCase {
     state: State,
     priority: u8,
@@ -42,7 +43,7 @@
 }
 
 impl TransitionCase {
-    /// A router of priority 128, whose skew time is half an interval, that preempts.
+    /// Creates a case with a preempting router of priority 128, whose skew time is half an interval.
     fn new(state: State, event: Event) -> TransitionCase {
         TransitionCase {
             state,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Compares the state after the event, its timer in milliseconds and the priority advertised.
+    /// Asserts the state after the event, the timer in milliseconds and the advertised priority.
     fn assert_transition(self, state: State, timer: Option<u64>, advertised: Option<u8>) {
         let mut router = router(self.priority, self.preempt);
         router.state = self.state;
