--- a/tests/config/main.rs
+++ b/tests/config/main.rs
@@ -1,4 +1,4 @@
-//! The configuration's documents: what they give, what is refused, and how the error names it.
+//! Tests of the configuration documents: parsed values, rejected values and error messages.
 
 mod operator_file;
 mod scheduler_file;
@@ -10,7 +10,7 @@
 
 use function_scheduler::config::{ConfigDocument, ConfigError, ConfigProblem};
 
-/// Asserts which document and key an error names, and its whole text.
+/// Asserts the document and key that an error names, and its complete text.
 fn assert_error(error: &ConfigError, document: ConfigDocument, key: &str, text: &str) {
     assert_eq!(error.to_string(), text);
     assert_eq!(
@@ -20,7 +20,7 @@
     );
 }
 
-/// The key that an error names; empty where only its text does.
+/// Returns the key that an error names; empty if only the error's text names it.
 fn key_of(error: &ConfigError) -> String {
     match &error.problem {
         ConfigProblem::UnknownValue { key, .. } => key.clone(),
--- a/tests/config/operator_file.rs
+++ b/tests/config/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file: its values and defaults, and what is refused.
+//! Tests of the operator's file: its values and defaults, and the values that are rejected.
 
 use super::assert_error;
 use super::support::settings::{settings_with, site};
@@ -13,7 +13,7 @@
 const VRRP: &str =
     "[vrrp]\nvrid = 1\npriority = 1\nbind = \"127.0.0.1:1\"\npeers = []\naddress = \"127.0.0.9\"\n";
 
-/// `deploy/jsonrpc.toml` with all that it shows in comments switched on.
+/// Returns `deploy/jsonrpc.toml` with all commented-out sections and keys enabled.
 fn example_operator_file() -> String {
     let example = include_str!("../../deploy/jsonrpc.toml")
         .replace("# [", "[")
@@ -24,17 +24,17 @@
     })
 }
 
-/// [`VRRP`] with a part of it replaced.
+/// Returns [`VRRP`] with `from` replaced by `to`.
 fn vrrp(from: &str, to: &str) -> String {
     VRRP.replace(from, to)
 }
 
-/// A JSON-RPC frontend with one more line.
+/// Returns the section of a JSON-RPC frontend with one additional line.
 fn jsonrpc(line: &str) -> String {
     format!("[jsonrpc]\nsocket = \"s\"\n{line}")
 }
 
-/// A JSON-RPC worker with this id.
+/// Returns the section of a JSON-RPC worker with this id.
 fn jsonrpc_worker(id: &str) -> String {
     format!("[[checkers]]\nid = \"{id}\"\nsocket = \"s\"\n")
 }
@@ -52,7 +52,7 @@
     );
     assert!(
         parse_operator_config("").unwrap().jsonrpc.is_none(),
-        "off where nothing is said"
+        "disabled unless configured"
     );
     let cases = [
         ("[jsonrpc]".to_owned(), "socket"),
--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file: its values and defaults, and what is refused.
+//! Tests of the platform's configuration file: its values and defaults, and the values that are rejected.
 
 use super::assert_error;
 use super::support::settings::least_settings;
@@ -8,7 +8,7 @@
 use function_scheduler::*;
 use serde_json::{Value, json};
 
-/// A file with one worker in its endpoint list.
+/// A configuration file with one worker in its endpoint list.
 const SCHEDULER_FILE: &str = r#"{"name":"n3","listen":"10.0.0.4:10080","seed":"8c1f30d27a5be964",
     "bus":"10.2.0.1:8500","limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"known":{"offset":41,
     "batch":[{"offset":41,"topology":{"rev":7,"all":true,"targets":[{"uid":"s-00c41f7a","endpoint":"10.1.0.9:10080","az":"b","model":"std",
@@ -16,12 +16,12 @@
     "zones":["a","b"],"kinds":["std"],"classes":[],"bounds":{"mostTries":3},"contract":{"coldFrom":0.2,
     "coldNs":1,"fallMultiple":3,"fallNs":1},"familyInfo":{"keepNs":1,"notLoaded":"load","loadSpanNs":0}}}"#;
 
-/// The configuration that this file gives, which is accepted.
+/// Parses a valid file.
 fn accepted(file: &Value) -> SchedulerConfig {
     parse_scheduler_config(file.to_string().as_bytes()).unwrap()
 }
 
-/// The error of [`SCHEDULER_FILE`] with a part of it replaced.
+/// Returns the error of parsing [`SCHEDULER_FILE`] with `from` replaced by `to`.
 fn error_with(from: &str, to: &str) -> ConfigError {
     parse_scheduler_config(SCHEDULER_FILE.replace(from, to).as_bytes()).unwrap_err()
 }
@@ -119,7 +119,7 @@
     );
 }
 
-/// README starts the program with this file.
+/// Guards the example in the README, which starts the program with this file.
 #[test]
 fn the_example_configuration_is_accepted() {
     let example = parse_scheduler_config(include_bytes!("../../deploy/example-config.json")).unwrap();
--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -1,4 +1,5 @@
-//! The site's settings: their defaults, what they give, what is refused, and their replacement by new ones.
+//! Tests of the site's settings: their values and defaults, the values that are rejected, and replacement by
+//! new settings.
 
 use super::assert_error;
 use super::support::settings::{least_settings, settings_with, site};
@@ -117,7 +118,8 @@
     assert!(wrong_type.starts_with(expected), "{wrong_type}");
 }
 
-/// A request under way knows its class by its place: a new configuration must not put another one there.
+/// An open request refers to its class by index, so a new configuration must not put another class at that
+/// index.
 #[test]
 fn classes_keep_their_indexes_when_a_configuration_is_replaced() {
     let site = |names: &[&str]| {
@@ -133,6 +135,6 @@
     assert_eq!(
         deadlines,
         [0, 1, 0, 2],
-        "the old a, the new b, c and the nameless"
+        "the old a, the new b, c and the unnamed class"
     );
 }
--- a/tests/config/sources.rs
+++ b/tests/config/sources.rs
@@ -1,4 +1,4 @@
-//! The files that the configuration is read from.
+//! Tests of reading the configuration files.
 
 use function_scheduler::config::{ConfigDocument, ConfigProblem, ConfigSources};
 use std::path::PathBuf;
@@ -26,8 +26,9 @@
         let expected =
             format!("{document}: cannot read {unreadable_path}: No such file or directory (os error 2)");
         assert_eq!(error.to_string(), expected);
-        assert!(
-            matches!(error.problem, ConfigProblem::Unreadable { path, .. } if path.as_os_str() == unreadable_path)
-        );
+        assert!(matches!(
+            error.problem,
+            ConfigProblem::Unreadable { path, .. } if path.as_os_str() == unreadable_path
+        ));
     }
 }
