--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -1,5 +1,5 @@
-//! VRRP between scheduler processes and over UDP: the active one accepts new requests on the JSON-RPC frontend,
-//! the backup rejects them.
+//! Tests of VRRP over UDP with scheduler processes: the active scheduler accepts new requests on the JSON-RPC
+//! frontend, and the backup rejects them.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -15,25 +15,25 @@
 
 const VIRTUAL_ROUTER_ID: u8 = 7;
 const VIRTUAL_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 100);
-/// Priority of the scheduler under test; its peer's are above it.
+/// Priority of the scheduler under test, lower than the priorities that its peer advertises.
 const PRIORITY: u8 = 100;
 const HIGHER_PRIORITY: u8 = 250;
-/// Priority of a router that shuts down.
+/// Priority in the last advertisement of a router that shuts down.
 const STOPPED: u8 = 0;
 /// Intervals between advertisements, in centiseconds.
 const SHORT_INTERVAL: u16 = 10;
 const MEDIUM_INTERVAL: u16 = 50;
 const LONG_INTERVAL: u16 = 4000;
 
-/// The JSON-RPC error of a rejected request.
+/// JSON-RPC error code of a rejected request.
 const REJECTED: i64 = -32001;
-/// How long the client of a request waits, in milliseconds.
+/// Time for which the client waits for the response to a request, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 2900;
 
 const BECAME_ACTIVE: &str = "state=Active was=Backup";
 const BECAME_BACKUP: &str = "state=Backup was=Active";
 
-/// A scheduler's part in a virtual router.
+/// VRRP configuration of a scheduler.
 struct RouterConfiguration {
     priority: u8,
     interval_centiseconds: u16,
@@ -42,7 +42,7 @@
 }
 
 impl RouterConfiguration {
-    /// Starts a scheduler with this worker.
+    /// Starts a scheduler that has this configuration and this worker.
     fn start(&self, worker: &StandInWorker) -> SchedulerProcess {
         let RouterConfiguration {
             priority,
@@ -61,7 +61,7 @@
     }
 }
 
-/// A stand-in for another router, with a socket of its own.
+/// A stand-in for another router, with its own socket.
 struct StandInRouter {
     socket: UdpSocket,
 }
@@ -93,7 +93,7 @@
         self.advertise_for(VIRTUAL_ROUTER_ID, to, priority, interval_centiseconds);
     }
 
-    /// Sends an advertisement for any virtual router.
+    /// Sends an advertisement for the given virtual router.
     fn advertise_for(&self, virtual_router_id: u8, to: SocketAddr, priority: u8, interval_centiseconds: u16) {
         let addresses = vec![VIRTUAL_ADDRESS];
         let advertisement = Advertisement {
@@ -123,15 +123,17 @@
     ));
 }
 
-/// Has a request served by this worker.
+/// Sends a request and expects this worker to serve it.
 fn expect_served(client: &mut JsonRpcClient, worker: &StandInWorker, id: u32) {
     send_request(client, id);
     worker.next_command().succeed("eQ==");
     client.expect_body("eQ==");
 }
 
-/// An address of this loopback host with a free port. Each scheduler has to know its peer's port before it
-/// starts; no other test binds these hosts, so that the ports stay free.
+/// Returns an address of this loopback host with a free port.
+///
+/// Each scheduler must know its peer's port before it starts. No other test binds to these hosts, so the
+/// ports stay free.
 fn free_address(host: Ipv4Addr) -> SocketAddr {
     UdpSocket::bind((host, 0)).unwrap().local_addr().unwrap()
 }
@@ -170,7 +172,7 @@
     let mut client = JsonRpcClient::connect(&scheduler);
     send_request(&mut client, 1);
     let mut command = worker.next_command();
-    // Returns to backup for three of the peer's long intervals.
+    // The scheduler returns to backup for three of the peer's long intervals.
     peer.advertise(address, HIGHER_PRIORITY, LONG_INTERVAL);
     scheduler.wait_for_log(BECAME_BACKUP);
     send_request(&mut client, 2);
@@ -180,7 +182,7 @@
         client.next_message(),
         json!({"jsonrpc": "2.0", "id": 1, "result": {"body": "eA=="}})
     );
-    // Takes over after its skew time, which goes by the peer's interval.
+    // The scheduler takes over after its skew time, which is a fraction of the peer's interval.
     peer.advertise(address, HIGHER_PRIORITY, SHORT_INTERVAL);
     peer.advertise(address, STOPPED, SHORT_INTERVAL);
     scheduler.wait_for_log_times(BECAME_ACTIVE, 2);
