--- a/src/config/operator_file/mod.rs
+++ b/src/config/operator_file/mod.rs
@@ -10,7 +10,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Configuration of a host by its operator, in addition to the platform's.
+/// Configuration that the operator of a host adds to the platform's.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
     /// The JSON-RPC frontend; `None` if it is disabled.
