--- a/src/frontend/client_connection.rs
+++ b/src/frontend/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: how it begins and ends, and what becomes of its open requests, alike for both protocols.
+//! The life cycle of a client connection and the handling of its open requests, shared by both protocols.
 
 use super::session::ClientSession;
 use crate::model::{Span, StreamId, Time};
@@ -6,29 +6,31 @@
 use crate::runtime::{Context, RuntimeState};
 use crate::scheduler::{Outcome, Response};
 
-/// The response to requests that fail with their connection.
+/// The response to requests that fail because their connection fails.
 const FAILED_RESPONSE: Response = Response {
     outcome: Outcome::Failed,
     expired: false,
 };
 
-/// What a client speaks on its connection.
+/// A protocol that clients speak, with its state on one connection.
 pub(crate) trait Protocol: Sized + 'static {
-    /// What is kept of a request until its response.
+    /// The state that is kept for a request until its response is sent.
     type OpenRequest: 'static;
-    /// Why a connection can't go on.
+    /// The reason why a connection cannot continue.
     type Error;
-    /// The error of a message that has not been completed in time.
+    /// The error for a message that was not completed in time.
     const MESSAGE_TIMED_OUT: Self::Error;
 
-    /// The connection is accepted.
+    /// Called when the connection has been accepted.
     fn opened(&mut self, _socket: &BufferedStream) {}
 
-    /// Handles new input. After [`ConnectionFlow::Finish`], the client has some time to read the rest.
+    /// Handles new input.
+    ///
+    /// After [`ConnectionFlow::Finish`], the client has a limited time to read the remaining output.
     ///
     /// # Errors
     ///
-    /// Those after which nothing more can be read.
+    /// Returns an error if no further input can be read.
     fn received(
         &mut self,
         session: &mut ClientSession<Self::OpenRequest>,
@@ -36,7 +38,7 @@
         context: &mut Context,
     ) -> Result<ConnectionFlow, Self::Error>;
 
-    /// All output has been written.
+    /// Called when all output has been written.
     fn flushed(
         &mut self,
         _session: &mut ClientSession<Self::OpenRequest>,
@@ -45,10 +47,10 @@
     ) {
     }
 
-    /// How long a connection without open requests may be idle.
+    /// Returns how long a connection without open requests may be idle.
     fn idle_timeout(&self) -> Span;
 
-    /// Reports an error after which the connection can't go on.
+    /// Reports an error after which the connection cannot continue.
     fn report_error(&mut self, error: Self::Error, socket: &mut BufferedStream, context: &mut Context);
 
     /// Sends the response to a request.
@@ -60,22 +62,23 @@
         socket: &mut BufferedStream,
     );
 
-    /// Notifies the client that the connection has failed, after the responses to its requests.
+    /// Notifies the client that the connection has failed, after all its requests have been answered.
     fn notify_failed(&mut self, _socket: &mut BufferedStream) {}
 
-    /// Notifies the client that the server is draining, so that it sends no new request on this connection, where the
-    /// protocol has a message for that.
+    /// Notifies the client that the server is draining, so that it sends no new requests on this connection.
+    ///
+    /// Does nothing if the protocol has no message for this.
     fn notify_draining(&mut self, _socket: &mut BufferedStream) {}
 }
 
-/// A client's connection that speaks `P`.
+/// A client connection that speaks the protocol `P`.
 pub(crate) struct ClientConnection<P: Protocol> {
     protocol: P,
     session: ClientSession<P::OpenRequest>,
 }
 
 impl<P: Protocol> ClientConnection<P> {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub(super) fn with_protocol(protocol: P, now: Time) -> ClientConnection<P> {
         ClientConnection {
             protocol,
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Reports an error to the client; the connection ends once that has been written.
+    /// Reports an error to the client and fails its open requests; the connection closes once the output has
+    /// been written.
     fn fail(
         &mut self,
         error: P::Error,
@@ -156,9 +160,9 @@
     }
 }
 
-/// A client's connection, whatever it speaks.
+/// A client connection of either protocol.
 pub(super) trait Client {
-    /// Sends the response to the request of this stream. A client that has cancelled its request is owed none.
+    /// Sends the response to the request on a stream, unless the client has cancelled the request.
     fn deliver(
         &mut self,
         stream: StreamId,
@@ -167,7 +171,7 @@
         context: &mut Context,
     );
 
-    /// See [`Protocol::notify_draining`].
+    /// Notifies the client that the server is draining; see [`Protocol::notify_draining`].
     fn notify_draining(&mut self, socket: &mut BufferedStream);
 }
 
--- a/src/frontend/session.rs
+++ b/src/frontend/session.rs
@@ -1,4 +1,4 @@
-//! The open requests of a client's connection and its timers, alike for both protocols.
+//! The open requests and the timers of a client connection, shared by both protocols.
 
 use super::connection_timers::ConnectionTimers;
 use super::limits::MAX_OPEN_REQUESTS;
@@ -8,17 +8,17 @@
 use crate::scheduler::{ClientRequest, RequestOrigin, Violation};
 use std::collections::BTreeMap;
 
-/// The open requests of a client's connection and its timers.
+/// The open requests and the timers of a client connection.
 ///
-/// `R` is what the protocol keeps of a request until its response.
+/// `R` is the state that the protocol keeps for a request until its response is sent.
 pub(crate) struct ClientSession<R> {
-    /// By the streams under which the scheduler knows them.
+    /// The open requests by the stream ids under which they were submitted to the scheduler.
     open_requests: BTreeMap<StreamId, R>,
     pub(super) timers: ConnectionTimers,
 }
 
 impl<R> ClientSession<R> {
-    /// The session of a connection that was accepted at `now`.
+    /// Creates the session of a connection that was accepted at `now`.
     pub(super) fn new(now: Time) -> ClientSession<R> {
         ClientSession {
             open_requests: BTreeMap::new(),
@@ -26,25 +26,25 @@
         }
     }
 
-    /// Whether a further request may be open.
+    /// Returns whether another request may be opened.
     pub(super) fn has_capacity(&self) -> bool {
         self.open_requests.len() < MAX_OPEN_REQUESTS
     }
 
-    /// The stream of an open request for which the protocol keeps something that matches.
+    /// Returns the stream of the first open request whose state matches the predicate.
     pub(super) fn find(&self, matches: impl Fn(&R) -> bool) -> Option<StreamId> {
         let mut open_requests = self.open_requests.iter();
         let (stream, _) = open_requests.find(|(_, open_request)| matches(open_request))?;
         Some(*stream)
     }
 
-    /// Passes a request to the scheduler; it is open from now on.
+    /// Submits a request to the scheduler and adds it to the open requests.
     pub(super) fn submit(&mut self, request: ClientRequest, open_request: R, context: &mut Context) {
         self.open_requests.insert(request.origin.stream, open_request);
         context.shared.scheduler.submit(context.now, request);
     }
 
-    /// Cancels a request of the client, if it is open.
+    /// Cancels a request on behalf of the client and returns its state, if it is open.
     pub(super) fn cancel(
         &mut self,
         stream: StreamId,
@@ -56,14 +56,16 @@
         Some(open_request)
     }
 
-    /// Ends a request that has its response; none if the client has cancelled it.
+    /// Removes a request that is answered and returns its state, or `None` if the client has cancelled it.
     pub(super) fn complete(&mut self, stream: StreamId, now: Time) -> Option<R> {
         let open_request = self.open_requests.remove(&stream)?;
         self.timers.record_activity(now);
         Some(open_request)
     }
 
-    /// Ends all requests because the connection can't go on. Each of them is owed a response, that it has failed.
+    /// Cancels and returns all open requests because the connection cannot continue.
+    ///
+    /// The caller must answer each of them as failed.
     pub(super) fn fail_all(
         &mut self,
         socket: &BufferedStream,
@@ -76,8 +78,10 @@
         failed
     }
 
-    /// Ends all requests because the connection is closed. If it is not the client that has ended it, they should have
-    /// had their responses before.
+    /// Cancels all open requests because the connection is closed.
+    ///
+    /// Unless the client closed the connection or the network failed, every request must have been answered
+    /// before; an open request is then recorded as a violation.
     pub(super) fn close(&mut self, cause: CloseCause, socket: &BufferedStream, context: &mut Context) {
         let unanswered = std::mem::take(&mut self.open_requests);
         if !cause.is_remote() {
@@ -89,7 +93,7 @@
         cancel_requests(unanswered.into_keys(), socket, context);
     }
 
-    /// Since when nothing has happened; none while requests are open or the connection is closing.
+    /// Returns the time of the last activity, or `None` while requests are open or the connection is closing.
     pub(super) fn idle_since(&self) -> Option<Time> {
         if self.open_requests.is_empty() {
             self.timers.idle_since()
@@ -98,24 +102,24 @@
         }
     }
 
-    /// When the first of the timers expires.
+    /// Returns when the first timer expires.
     pub(super) fn next_timer(&self, idle_timeout: Span) -> Option<Time> {
         self.timers.next(self.effective_idle_timeout(idle_timeout))
     }
 
-    /// Whether the connection has been idle or closing for too long.
+    /// Returns whether the connection has been idle or closing for too long.
     pub(super) fn timed_out(&self, now: Time, idle_timeout: Span) -> bool {
         self.timers
             .connection_timed_out(now, self.effective_idle_timeout(idle_timeout))
     }
 
-    /// The idle timeout, which does not count while requests are open.
+    /// Returns the idle timeout, or `None` while requests are open.
     fn effective_idle_timeout(&self, idle_timeout: Span) -> Option<Span> {
         self.open_requests.is_empty().then_some(idle_timeout)
     }
 }
 
-/// Where a request of this connection comes from.
+/// Returns the origin of a request on this connection.
 pub(super) fn origin(socket: &BufferedStream, stream: StreamId) -> RequestOrigin {
     RequestOrigin {
         connection: socket.id(),
@@ -123,7 +127,7 @@
     }
 }
 
-/// Cancels requests of a connection whose client no longer waits for them.
+/// Cancels requests in the scheduler, as its responses to them are no longer needed.
 fn cancel_requests(
     streams: impl IntoIterator<Item = StreamId>,
     socket: &BufferedStream,
