--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,9 +1,9 @@
-//! The client side: two protocols that turn bytes into [`ClientRequest`](crate::scheduler::ClientRequest)s
-//! and responses into bytes.
+//! Client connections: two protocols that decode requests into
+//! [`ClientRequest`](crate::scheduler::ClientRequest)s and encode responses.
 //!
-//! Each protocol has a codec and, apart from it, a connection. Binary frames come over TCP, JSON-RPC over a
-//! Unix socket. What is alike for both protocols is in `client_connection`: when a connection ends, and what
-//! becomes of its open requests then.
+//! Clients send binary frames over TCP, or JSON-RPC over a Unix socket. Each protocol has a codec and a
+//! separate connection type. The module `client_connection` holds what both protocols share: when a
+//! connection closes, and how its open requests end.
 
 mod client_connection;
 mod connection_timers;
