--- a/src/frontend/delivery.rs
+++ b/src/frontend/delivery.rs
@@ -1,4 +1,4 @@
-//! What the event loop sends to clients: responses, and the notice that the server is draining.
+//! Messages from the event loop to clients: responses and the notification that the server is draining.
 
 use super::client_connection::Client;
 use super::{FrameConnection, JsonRpcConnection};
@@ -8,7 +8,7 @@
 use crate::scheduler::{RequestOrigin, Response};
 use std::any::Any;
 
-/// Hands a response to the client's connection, if that still exists.
+/// Passes a response to the client's connection, if it still exists.
 pub fn deliver(origin: RequestOrigin, response: &Response, reactor: &mut Reactor) {
     with_client(origin.connection, reactor, |client, socket, context| {
         client.deliver(origin.stream, response, socket, context);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Calls a connection that has a client at its other end, and does nothing to another.
+/// Invokes `callback` if the connection is a client connection; does nothing for other connections.
 fn with_client(
     id: ConnectionId,
     reactor: &mut Reactor,
@@ -38,10 +38,10 @@
     });
 }
 
-/// The client's side of a connection, if it is of one of the protocols that clients speak.
+/// Returns the connection as a [`Client`] if it speaks one of the client protocols.
 fn as_client(connection: &mut dyn Connection<RuntimeState>) -> Option<&mut dyn Client> {
     let connection: &mut dyn Any = connection;
-    // Asked first: a downcast that fails would keep the connection borrowed for the second.
+    // `is` comes first because a failed `downcast_mut` would keep the connection borrowed.
     if connection.is::<FrameConnection>() {
         return connection
             .downcast_mut::<FrameConnection>()
--- a/src/frontend/stream_ids.rs
+++ b/src/frontend/stream_ids.rs
@@ -1,16 +1,17 @@
-//! Which stream ids a client has used on its connection.
+//! The stream ids that a client has used on its connection.
 
 use std::collections::BTreeSet;
 
 #[cfg(test)]
 mod tests;
 
-/// Used ids above the floor that are remembered one by one.
+/// Maximum number of used ids above the floor that are stored individually.
 const MAX_IDS_ABOVE_FLOOR: usize = 4096;
 
-/// The used stream ids of a connection: all up to a floor, and some above it.
+/// The used stream ids of a connection: all ids up to a floor, and individual ids above it.
 ///
-/// Ids need not come in order, but memory is bounded: once too many stand above gaps, the gaps count as used.
+/// Ids may be used out of order. To bound memory, the floor is raised when too many ids are stored above it;
+/// the unused ids below the new floor then count as used.
 #[derive(Default)]
 pub(super) struct UsedStreamIds {
     floor: u32,
@@ -18,7 +19,7 @@
 }
 
 impl UsedStreamIds {
-    /// Marks an id as used; false if it was used before.
+    /// Marks an id as used and returns whether it was unused before.
     pub(super) fn insert(&mut self, stream: u32) -> bool {
         if stream <= self.floor || !self.above_floor.insert(stream) {
             return false;
