--- a/src/frontend/unix_socket.rs
+++ b/src/frontend/unix_socket.rs
@@ -1,4 +1,4 @@
-//! Files of Unix sockets: created with their mode before anyone sees them, and removed only if they are ours.
+//! Unix socket files: created with their final mode, and removed only by the process that created them.
 
 use std::fs::{self, DirBuilder, Permissions};
 use std::io;
@@ -9,12 +9,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Mode of the folder in which a socket is created: only its owner may enter.
+/// Mode of the folder in which a socket is created: only the owner has access.
 const PRIVATE_FOLDER_MODE: u32 = 0o700;
-/// Name of a socket in the folder in which it is created.
+/// Name of a socket in its temporary folder.
 const TEMPORARY_NAME: &str = "s";
 
-/// What tells a file from any other of the same path.
+/// The device and inode of a file, which distinguish it from another file at the same path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileIdentity {
     device: u64,
@@ -31,28 +31,28 @@
     }
 }
 
-/// A socket file that this process has created; removed when it is dropped.
+/// A socket file that this process has created and that is removed when the value is dropped.
 #[derive(Debug)]
 pub struct SocketFile {
     path: PathBuf,
     identity: FileIdentity,
 }
 
-/// Listens at a path, with this mode for the file.
+/// Binds a listener to a path and gives the socket file this mode.
 ///
-/// A socket file that nobody listens at is stale and is replaced.
+/// A stale socket file, on which no process listens, is replaced.
 ///
 /// # Errors
 ///
-/// [`io::ErrorKind::AddrInUse`] where somebody listens at the path, [`io::ErrorKind::AlreadyExists`] where
-/// there is something else than a socket, and any error of the system.
+/// Returns [`io::ErrorKind::AddrInUse`] if a process listens on the path, [`io::ErrorKind::AlreadyExists`] if
+/// the path holds a file that is not a socket, or any error of the operating system.
 pub fn bind(path: &Path, mode: u32) -> io::Result<(UnixListener, SocketFile)> {
     check_replaceable(path)?;
-    // Created in a folder that nobody else may enter, given its mode, then moved into place in one step: a
-    // socket with the mode that the umask happens to give is never in reach.
+    // The socket is created in a private folder, given its mode and then renamed atomically, so that it is
+    // never accessible with the mode that results from the umask.
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let folder = path.with_file_name(format!(".{name}.{}", std::process::id()));
-    // An earlier process of the same id may have been killed before it had removed its own.
+    // An earlier process with the same id may have been killed before it removed its folder.
     remove_temporary_folder(&folder);
     DirBuilder::new().mode(PRIVATE_FOLDER_MODE).create(&folder)?;
     let temporary = folder.join(TEMPORARY_NAME);
@@ -61,13 +61,13 @@
     bound
 }
 
-/// Removes a folder in which a socket was created, with the socket if it is still there.
+/// Removes a temporary folder, including the socket if it was not moved.
 fn remove_temporary_folder(folder: &Path) {
     let _ = fs::remove_file(folder.join(TEMPORARY_NAME));
     let _ = fs::remove_dir(folder);
 }
 
-/// Whether there is nothing at the path, or a stale socket.
+/// Checks that the path does not exist or holds a stale socket.
 fn check_replaceable(path: &Path) -> io::Result<()> {
     let metadata = match fs::symlink_metadata(path) {
         Ok(metadata) => metadata,
@@ -75,11 +75,14 @@
         Err(error) => return Err(error),
     };
     if !metadata.file_type().is_socket() {
-        let text = "there is something that is no socket";
+        let text = "the path holds a file that is not a socket";
         return Err(io::Error::new(io::ErrorKind::AlreadyExists, text));
     }
     match UnixStream::connect(path) {
-        Ok(_) => Err(io::Error::new(io::ErrorKind::AddrInUse, "somebody listens there")),
+        Ok(_) => Err(io::Error::new(
+            io::ErrorKind::AddrInUse,
+            "another process listens on the path",
+        )),
         Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Ok(()),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
         Err(error) => Err(error),
@@ -99,18 +102,18 @@
 }
 
 impl SocketFile {
-    /// Gives the file another mode.
+    /// Changes the mode of the file.
     ///
     /// # Errors
     ///
-    /// The system's error, most likely as the file has been removed.
+    /// Returns the error of the operating system, typically because the file has been removed.
     pub fn set_mode(&self, mode: u32) -> io::Result<()> {
         fs::set_permissions(&self.path, Permissions::from_mode(mode))
     }
 }
 
 impl Drop for SocketFile {
-    /// A later process may have put its own socket in place: that one stays.
+    /// Removes the file, unless another process has replaced it with its own socket.
     fn drop(&mut self) {
         if FileIdentity::of(&self.path).is_ok_and(|identity| identity == self.identity) {
             let _ = fs::remove_file(&self.path);
--- a/src/frontend/unix_socket/tests.rs
+++ b/src/frontend/unix_socket/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A folder of the test's own, removed when it is dropped.
+/// A folder for one test, removed when it is dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -17,7 +17,7 @@
     }
 }
 
-/// In a container each start has the same process id, so that the next one finds what a killed one has left.
+/// In a container every start has the same process id, so the temporary folder of a killed process may exist.
 #[test]
 fn leftovers_of_a_killed_process_do_not_prevent_binding() {
     let folder = TestFolder::new("leftover");
