--- a/src/frontend/frame_codec/fields.rs
+++ b/src/frontend/frame_codec/fields.rs
@@ -1,19 +1,19 @@
-//! The fields of a payload: `count:1`, then for each `size:1 name size:2 value`.
+//! The fields of a payload: `count:1`, then for each field `size:1 name size:2 value`.
 
 use super::{FrameError, InvalidRequest};
 use crate::frontend::conversions::parse_hex_id;
 
-/// The fields at the start of a payload, and what follows them.
+/// The fields at the start of a payload, and the bytes that follow them.
 #[derive(Debug)]
 pub struct Fields<'a> {
-    /// Names and values in their order.
+    /// The names and values in the order of the payload.
     pub pairs: Vec<(&'a str, &'a str)>,
     /// The bytes after the fields.
     pub rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
-    /// The value of the first field of this name.
+    /// Returns the value of the first field with this name.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         let field = self.pairs.iter().find(|(other, _)| *other == name);
         field.map(|(_, value)| *value)
@@ -35,7 +35,7 @@
     }
 }
 
-/// Takes bytes from the start of a slice; an error where there are too few.
+/// Splits `count` bytes off the start of a slice; fails if it is shorter.
 fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Result<&'a [u8], FrameError> {
     let (part, rest) = bytes.split_at_checked(count).ok_or(FrameError::TruncatedFields)?;
     *bytes = rest;
@@ -57,11 +57,12 @@
     std::str::from_utf8(part).map_err(|_| FrameError::FieldNotText)
 }
 
-/// Reads the fields at the start of a payload.
+/// Decodes the fields at the start of a payload.
 ///
 /// # Errors
 ///
-/// [`FrameError::TruncatedFields`] or [`FrameError::FieldNotText`].
+/// Returns [`FrameError::TruncatedFields`] if the payload ends within the fields, and
+/// [`FrameError::FieldNotText`] if a name or value is not UTF-8.
 pub fn decode_fields(payload: &[u8]) -> Result<Fields<'_>, FrameError> {
     let mut rest = payload;
     let count = take_u8(&mut rest)?;
@@ -76,8 +77,9 @@
     Ok(Fields { pairs, rest })
 }
 
-/// Writes fields of these names and values: at most 255, names of at most 255 bytes, values of at most
-/// 65,535.
+/// Encodes fields with these names and values.
+///
+/// The format allows at most 255 fields, names of at most 255 bytes and values of at most 65,535 bytes.
 pub fn encode_fields(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut bytes = vec![pairs.len() as u8];
     for (name, value) in pairs {
--- a/src/frontend/frame_codec/mod.rs
+++ b/src/frontend/frame_codec/mod.rs
@@ -1,13 +1,12 @@
-//! The binary frames that clients send over TCP, and those that answer them. Pure functions from and to
-//! bytes.
+//! The binary frames that clients and the scheduler exchange over TCP, encoded and decoded by pure functions.
 //!
 //! ```text
-//! frame   = length:4 type:1 stream:4 payload      length counts all that follows it, 5 to 262,144
-//! fields  = count:1, then for each: size:1 name size:2 value      names and values are text
+//! frame   = length:4 type:1 stream:4 payload      length: bytes that follow it, 5 to 262,144
+//! fields  = count:1, then for each: size:1 name size:2 value      names and values are UTF-8
 //! ```
 //!
-//! Numbers are big-endian and unsigned. A request's payload is fields and then the body; that of a response
-//! is a code, fields and then the body.
+//! Numbers are unsigned and big-endian. The payload of a request consists of fields and the body, that of a
+//! response of a code, fields and the body.
 
 mod fields;
 mod request;
@@ -19,13 +18,13 @@
 pub use request::{InvalidRequest, RequestError, decode_request};
 pub use response::{ResponseCode, encode_readiness, encode_response};
 
-/// Largest value of a frame's length field.
+/// Maximum value of a frame's length field.
 pub const MAX_FRAME_LENGTH: usize = 262_144;
-/// Bytes of the length field.
+/// Size of the length field, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Bytes of the type and the stream, which the length counts.
+/// Size of the type and the stream, in bytes; the length field includes them.
 const TYPE_AND_STREAM_BYTES: usize = 5;
-/// Bytes before a frame's payload.
+/// Size of the header before a frame's payload, in bytes.
 const HEADER_BYTES: usize = LENGTH_BYTES + TYPE_AND_STREAM_BYTES;
 
 /// The types of frames.
@@ -34,20 +33,20 @@
 pub enum FrameType {
     /// A client's request.
     Request = 0,
-    /// The response to a request; on stream 0 an error that belongs to none.
+    /// The response to a request; on stream 0, an error that belongs to no request.
     Response = 1,
-    /// A client no longer waits for a stream's response.
+    /// Sent by a client that no longer waits for the response on a stream.
     Cancel = 2,
-    /// A client asks whether the scheduler is ready.
+    /// Sent by a client to ask whether the scheduler is ready.
     ReadinessRequest = 6,
-    /// The response to that.
+    /// The response to a readiness request.
     ReadinessResponse = 7,
-    /// The scheduler wants no new request on this connection.
+    /// Sent by the scheduler when the client must send no new requests on this connection.
     GoAway = 9,
 }
 
 impl FrameType {
-    /// The type of this number on the wire.
+    /// Returns the type with this number on the wire, if there is one.
     pub fn from_wire(number: u8) -> Option<FrameType> {
         match number {
             0 => Some(FrameType::Request),
@@ -60,16 +59,16 @@
         }
     }
 
-    /// The type's number on the wire.
+    /// Returns the number of the type on the wire.
     pub fn to_wire(self) -> u8 {
         self as u8
     }
 }
 
-/// Why bytes can't be read as a frame. Where the next frame begins is unknown then.
+/// The reason why bytes cannot be decoded as a frame; the start of the next frame is then unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The length field has a value that no frame has.
+    /// The length field is outside the range of valid lengths.
     #[error("length out of range")]
     LengthOutOfRange,
     /// The payload ends within its fields.
@@ -83,16 +82,16 @@
 /// The part of a frame before its payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FrameHeader {
-    /// Bytes that follow the length field.
+    /// The number of bytes that follow the length field.
     pub(super) length: usize,
-    /// The frame's type; none for a number that stands for no type.
+    /// The frame's type; `None` for an unknown type number.
     pub(super) frame_type: Option<FrameType>,
     /// The frame's stream.
     pub(super) stream: u32,
 }
 
 impl FrameHeader {
-    /// Reads the header at the start of a buffer, if all of it is there. The length is not checked.
+    /// Decodes the header at the start of a buffer, if it is complete; does not check the length.
     pub(super) fn decode(bytes: &[u8]) -> Option<FrameHeader> {
         let header = bytes.first_chunk::<HEADER_BYTES>()?;
         let [l0, l1, l2, l3, frame_type, s0, s1, s2, s3] = *header;
@@ -103,35 +102,35 @@
         })
     }
 
-    /// Bytes of the whole frame.
+    /// Returns the size of the whole encoded frame, in bytes.
     pub(super) fn encoded_length(&self) -> usize {
         LENGTH_BYTES + self.length
     }
 }
 
-/// A frame in its buffer.
+/// A frame that borrows its payload from the input buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Its type; none for a number that stands for no type.
+    /// The frame's type; `None` for an unknown type number.
     pub frame_type: Option<FrameType>,
-    /// Its stream.
+    /// The frame's stream.
     pub stream: u32,
-    /// The rest.
+    /// The bytes after the header.
     pub payload: &'a [u8],
 }
 
 impl Frame<'_> {
-    /// Bytes of the whole frame.
+    /// Returns the size of the whole encoded frame, in bytes.
     pub fn encoded_length(&self) -> usize {
         HEADER_BYTES + self.payload.len()
     }
 }
 
-/// Reads the first frame of a buffer; none where it is not complete yet.
+/// Decodes the first frame of a buffer, or returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// [`FrameError::LengthOutOfRange`], as soon as the length field is there.
+/// Returns [`FrameError::LengthOutOfRange`] as soon as the length field is complete and invalid.
 pub fn decode_frame(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     let Some(length) = bytes.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -153,12 +152,12 @@
     }))
 }
 
-/// Writes a frame; its payload is the parts one after another.
+/// Encodes a frame whose payload is the concatenation of the parts.
 pub fn encode_frame(frame_type: FrameType, stream: u32, payload_parts: &[&[u8]]) -> Vec<u8> {
     encode_raw_frame(frame_type.to_wire(), stream, payload_parts)
 }
 
-/// Writes a frame with any type number, also one that stands for no type.
+/// Encodes a frame with an arbitrary type number, which need not be a known type.
 pub fn encode_raw_frame(type_number: u8, stream: u32, payload_parts: &[&[u8]]) -> Vec<u8> {
     let payload_length: usize = payload_parts.iter().map(|part| part.len()).sum();
     let length = TYPE_AND_STREAM_BYTES + payload_length;
--- a/src/frontend/frame_codec/request.rs
+++ b/src/frontend/frame_codec/request.rs
@@ -1,4 +1,4 @@
-//! The payload of a request.
+//! Decoding of a request's payload.
 
 use super::{FrameError, decode_fields};
 use crate::frontend::conversions::{load_time, response_deadline};
@@ -6,46 +6,46 @@
 use crate::model::{FunctionId, Span, Time};
 use crate::scheduler::{ClientRequest, RequestOrigin, RequestParameters};
 
-/// A request that can be read but not be carried out.
+/// The reason why a well-formed request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// A field's name occurs more than once.
-    #[error("a field stands twice")]
+    /// A field name occurs more than once.
+    #[error("duplicate field")]
     DuplicateField,
-    /// A field is missing.
-    #[error("no {0}")]
+    /// A required field is missing.
+    #[error("missing field {0}")]
     MissingField(&'static str),
-    /// A field that has to hold an id holds something else.
+    /// The value of a field is not an id.
     #[error("{0} is not 16 hex digits")]
     InvalidId(&'static str),
     /// `allow` is not a number of milliseconds.
-    #[error("allow is no number")]
+    #[error("allow is not a number of milliseconds")]
     InvalidAllow,
-    /// The body is longer than a request's may be.
+    /// The body exceeds the maximum size.
     #[error("body too large")]
     BodyTooLarge,
     /// `spec` is not a list of names and numbers.
-    #[error("odd spec")]
+    #[error("spec is not a list of names and numbers")]
     InvalidSpec,
 }
 
-/// Why a request's payload gives no request.
+/// The reason why a request's payload cannot be decoded into a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The frame itself can't be read: the connection ends.
+    /// The frame is malformed: the connection is closed.
     #[error(transparent)]
     Malformed(#[from] FrameError),
-    /// The frame can be read but not be carried out: this request has failed.
+    /// The frame is well-formed but the request is invalid: only this request fails.
     #[error(transparent)]
     Invalid(#[from] InvalidRequest),
 }
 
-/// Reads the payload of a request received at `now`.
+/// Decodes the payload of a request received at `now`.
 ///
 /// # Errors
 ///
-/// [`RequestError::Malformed`] where the connection can't go on, [`RequestError::Invalid`] where only this
-/// request has failed.
+/// Returns [`RequestError::Malformed`] if the connection cannot continue, and [`RequestError::Invalid`] if
+/// only this request fails.
 pub fn decode_request(
     payload: &[u8],
     origin: RequestOrigin,
@@ -81,7 +81,9 @@
     })
 }
 
-/// Reads a number of milliseconds. Digits only: the standard library's parser would take a sign.
+/// Parses a number of milliseconds that consists of digits only.
+///
+/// The digits are checked because the standard library's parser accepts a leading `+`.
 fn parse_millis(text: &str) -> Result<u64, InvalidRequest> {
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(InvalidRequest::InvalidAllow);
@@ -89,7 +91,7 @@
     text.parse().map_err(|_| InvalidRequest::InvalidAllow)
 }
 
-/// What the field `spec` says of a function.
+/// The properties of a function from the field `spec`.
 #[derive(Debug)]
 struct FunctionSpec {
     memory_mb: f64,
@@ -98,7 +100,7 @@
 }
 
 impl FunctionSpec {
-    /// Reads parts of the form `name:number`, separated by semicolons; unknown names are passed over.
+    /// Decodes parts of the form `name:number`, separated by semicolons; ignores unknown names.
     fn decode(text: &str) -> Result<FunctionSpec, InvalidRequest> {
         let mut spec = FunctionSpec {
             memory_mb: 0.0,
--- a/src/frontend/frame_codec/response.rs
+++ b/src/frontend/frame_codec/response.rs
@@ -1,31 +1,31 @@
-//! The payload of a response.
+//! Encoding of responses.
 
 use super::{FrameType, encode_fields, encode_frame};
 use crate::scheduler::Outcome;
 
-/// The encoding of no fields.
+/// The encoding of an empty list of fields.
 const NO_FIELDS: &[u8] = &[0];
 
-/// The codes of responses.
+/// The code at the start of a response's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ResponseCode {
-    /// Served; of a readiness response, ready.
+    /// The request was served; in a readiness response, the scheduler is ready.
     Served = 79,
-    /// Rejected, so that a retry does no harm; of a readiness response, not ready.
+    /// The request was rejected and a retry is harmless; in a readiness response, the scheduler is not ready.
     Rejected = 66,
-    /// Failed.
+    /// The request failed and may have run.
     Failed = 69,
 }
 
 impl ResponseCode {
-    /// The code on the wire.
+    /// Returns the code on the wire.
     pub fn to_wire(self) -> u8 {
         self as u8
     }
 }
 
-/// Writes the response to a request.
+/// Encodes the response to a request.
 pub fn encode_response(stream: u32, outcome: &Outcome) -> Vec<u8> {
     match outcome {
         Outcome::Served(body) => encode_response_parts(stream, ResponseCode::Served, NO_FIELDS, body),
@@ -45,7 +45,7 @@
     encode_frame(FrameType::Response, stream, &[&[code.to_wire()], fields, body])
 }
 
-/// Writes the response to a question whether the scheduler is ready.
+/// Encodes the response to a readiness request.
 pub fn encode_readiness(stream: u32, ready: bool) -> Vec<u8> {
     let code = if ready {
         ResponseCode::Served
--- a/src/frontend/frame_codec/tests.rs
+++ b/src/frontend/frame_codec/tests.rs
@@ -40,7 +40,7 @@
     assert_eq!(decode_frame(&262_144u32.to_be_bytes()), Ok(None));
 }
 
-/// The fields of a request that can be used.
+/// The fields of a valid request.
 const VALID_FIELDS: [(&str, &str); 5] = [
     ("service", "call"),
     ("ref", "9b1f03aa5c7e2d41"),
