--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection that speaks binary frames over TCP.
+//! Client connections that speak binary frames over TCP.
 
 mod admission;
 mod frame_reader;
@@ -23,18 +23,20 @@
 use protocol_error::ProtocolError;
 use tracing::{debug, warn};
 
-/// Buffers of a connection: a usable frame with its length field, and output that waits.
+/// Limits of the buffers: the longest accepted frame with its length field, and the unsent output.
 const BUFFER_LIMITS: BufferLimits = BufferLimits {
     input: MAX_ACCEPTED_FRAME_LENGTH + 4,
     output: MAX_UNSENT_BYTES,
 };
-/// A connection without open requests is closed after so long without a frame. Clients close theirs after 4
-/// s, so no request crosses it.
+/// Time without a frame after which a connection without open requests is closed.
+///
+/// Clients close idle connections after 4 s, so no request is in transit when this timeout expires.
 const IDLE_TIMEOUT: Span = Span::from_millis(5_000);
-/// The same for a connection that has never brought a whole frame: some clients open connections by the
-/// hundred and send nothing.
+/// Idle timeout of a connection that has not yet received a complete frame.
+///
+/// It is shorter because some clients open hundreds of connections and send nothing.
 const FIRST_FRAME_TIMEOUT: Span = Span::from_millis(2_200);
-/// The stream of errors that belong to no request, and of frames that concern the whole connection.
+/// The stream for errors that belong to no request and for frames that concern the whole connection.
 const CONNECTION_STREAM: u32 = 0;
 
 /// Whether the client has been notified that the server is draining.
@@ -44,32 +46,32 @@
     Sent,
 }
 
-/// A client's connection that speaks binary frames.
+/// A client connection that speaks binary frames.
 pub(crate) type FrameConnection = ClientConnection<FrameProtocol>;
 
 type Session = ClientSession<()>;
 
-/// The protocol's state on one connection.
+/// The state of the frame protocol on one connection.
 pub(crate) struct FrameProtocol {
     used_streams: UsedStreamIds,
     admission: Admission,
     go_away: GoAwayState,
-    /// Bytes still to come of a frame that is too long; they are skipped.
+    /// Number of outstanding bytes of an oversized frame, which are skipped when they arrive.
     bytes_to_skip: usize,
 }
 
 impl FrameConnection {
-    /// A connection that was accepted at `now`.
+    /// Creates the state of a connection that was accepted at `now`.
     pub(crate) fn new(now: Time) -> FrameConnection {
         ClientConnection::with_protocol(FrameProtocol::new(Admission::serving()), now)
     }
 
-    /// A connection that was accepted at `now` only to have its requests rejected.
+    /// Creates the state of a connection that was accepted at `now` only to reject its requests.
     pub(crate) fn shedding(now: Time) -> FrameConnection {
         ClientConnection::with_protocol(FrameProtocol::new(Admission::shedding()), now)
     }
 
-    /// Limits of such a connection's buffers.
+    /// Returns the limits of the connection's buffers.
     pub(crate) fn buffer_limits() -> BufferLimits {
         BUFFER_LIMITS
     }
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Handles the frames that are complete. After an error, the reader is where it occurred.
+    /// Handles all complete frames. After an error, the reader stays at the frame that caused it.
     fn handle_frames(
         &mut self,
         reader: &mut FrameReader,
@@ -159,12 +161,12 @@
         Ok(())
     }
 
-    /// Marks the stream of a request as used; false if it can't be a new one.
+    /// Marks the stream of a new request as used; returns `false` if it is reserved or was used before.
     fn begin_stream(&mut self, stream: u32) -> bool {
         stream != CONNECTION_STREAM && self.used_streams.insert(stream)
     }
 
-    /// Fails the request of a frame that is too long to be kept.
+    /// Fails the request of an oversized frame.
     fn fail_oversized(
         &mut self,
         header: &FrameHeader,
@@ -178,28 +180,29 @@
         Ok(())
     }
 
-    /// Sets the deadline of a frame that has begun.
+    /// Updates the deadline of an incomplete frame.
     fn track_partial_frame(&self, partial_frame: PartialMessage, session: &mut Session, now: Time) {
         session.timers.track_message(partial_frame, now);
-        // The deadline of a frame that has begun is the shorter one. A client that has never sent a whole
-        // frame is owed a response within 3 s of connecting, whatever it has begun.
+        // The start of a frame counts as activity, so that the frame deadline, which is shorter than the idle
+        // timeout, applies. It does not count before the first complete frame, because the client must get a
+        // response within 3 s of connecting, whatever it has started to send.
         if self.admission.has_received_frame() && session.timers.message_began_at(now) {
             session.timers.record_activity(now);
         }
     }
 }
 
-/// A stream of this protocol as the scheduler knows it.
+/// Converts the stream number of a frame to the scheduler's stream id.
 fn stream_id(stream: u32) -> StreamId {
     StreamId(u64::from(stream))
 }
 
-/// A stream of one of this connection's requests as it is numbered in frames, where it came as 32 bits.
+/// Converts the stream id of a request on this connection back to its 32-bit number in frames.
 fn frame_stream(stream: StreamId) -> u32 {
     stream.0 as u32
 }
 
-/// Responds to a request that is not passed to the scheduler.
+/// Responds to a request that is not submitted to the scheduler.
 fn respond_locally(stream: u32, outcome: &Outcome, socket: &mut BufferedStream, context: &mut Context) {
     context.shared.scheduler.count_frontend_response(outcome);
     socket.enqueue(&encode_response(stream, outcome));
@@ -229,7 +232,7 @@
         self.bytes_to_skip = progress.bytes_to_skip;
         self.track_partial_frame(progress.partial_frame, session, context.now);
         result?;
-        // A client that closes waits for nothing more.
+        // A client that has closed its side no longer waits for responses.
         if socket.input_ended {
             return Ok(ConnectionFlow::Close);
         }
--- a/src/frontend/frame_connection/admission.rs
+++ b/src/frontend/frame_connection/admission.rs
@@ -1,35 +1,35 @@
-//! Whether the requests of a connection are passed to the scheduler.
+//! Whether the requests of a connection are submitted to the scheduler.
 
-/// Whether a client has completed a frame.
+/// Whether a client has sent its first complete frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FirstFrameState {
     AwaitingFirstFrame,
     FrameReceived,
 }
 
-/// What becomes of a client's requests.
+/// How the requests of a client are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// They are passed to the scheduler.
+    /// Requests are submitted to the scheduler.
     Serving(FirstFrameState),
-    /// Every one is rejected, because there are too many clients, and the connection ends with the first.
+    /// There are too many clients: the first request is rejected and the connection is then closed.
     Shedding(FirstFrameState),
-    /// One has been rejected for that: the connection ends.
+    /// A request was rejected because there are too many clients: the connection closes.
     Shed,
 }
 
 impl Admission {
-    /// That of a new connection whose requests are served.
+    /// Creates the state of a new connection whose requests are served.
     pub(super) fn serving() -> Admission {
         Admission::Serving(FirstFrameState::AwaitingFirstFrame)
     }
 
-    /// That of a new connection that was accepted only to have its requests rejected.
+    /// Creates the state of a new connection that was accepted only to reject its requests.
     pub(super) fn shedding() -> Admission {
         Admission::Shedding(FirstFrameState::AwaitingFirstFrame)
     }
 
-    /// The client has completed a frame.
+    /// Records that the client has sent a complete frame.
     pub(super) fn record_frame(&mut self) {
         match self {
             Admission::Serving(progress) | Admission::Shedding(progress) => {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether the client has completed a frame.
+    /// Returns whether the client has sent a complete frame.
     pub(super) fn has_received_frame(self) -> bool {
         match self {
             Admission::Serving(progress) | Admission::Shedding(progress) => {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether the request that has come is passed to the scheduler; if not, it is to be rejected.
+    /// Returns whether a new request is submitted to the scheduler; if not, the caller must reject it.
     pub(super) fn admits_request(&mut self) -> bool {
         match self {
             Admission::Serving(_) => true,
--- a/src/frontend/frame_connection/frame_reader.rs
+++ b/src/frontend/frame_connection/frame_reader.rs
@@ -1,44 +1,46 @@
-//! Splits a connection's input into frames and skips those that are too long to be of use.
+//! Splitting of a connection's input into frames, with oversized frames skipped.
 
 use crate::frontend::frame_codec::{Frame, FrameError, FrameHeader, decode_frame};
 use crate::net::PartialMessage;
 
-/// Largest length of a frame that can be of use: a body and its fields. A longer one is not kept, as hundreds
-/// of connections may bring one each: its request has failed once its header is known, and the rest is passed
-/// over.
+/// Maximum length of a frame that is buffered, in bytes; it has room for the largest body and its fields.
+///
+/// A longer frame fails its request as soon as the header is known, and the remaining bytes are skipped. It
+/// is not buffered because hundreds of connections may each send one at the same time.
 pub(super) const MAX_ACCEPTED_FRAME_LENGTH: usize = 32 << 10;
 
 /// A frame at the start of the input.
 pub(super) enum InputFrame<'a> {
-    /// All of it is there, and it has been consumed.
+    /// A complete frame, which has been consumed.
     Complete(Frame<'a>),
-    /// It is too long to be of use; see [`FrameReader::skip`].
+    /// The header of a frame that is too long to be buffered; see [`FrameReader::skip`].
     Oversized(FrameHeader),
 }
 
-/// Reads frames from the input of one callback.
+/// A reader of frames from the input of one callback.
 pub(super) struct FrameReader<'a> {
     input: &'a [u8],
-    /// Bytes used so far.
+    /// Number of bytes consumed so far.
     consumed: usize,
-    /// A frame was consumed, at least its header, so that an incomplete one has only just begun.
+    /// Whether a frame or the header of an oversized frame was consumed, so that an incomplete frame after it
+    /// is new.
     frame_consumed: bool,
-    /// Bytes still to come of a frame that is too long; they are skipped.
+    /// Number of outstanding bytes of an oversized frame, which are skipped when they arrive.
     bytes_to_skip: usize,
 }
 
-/// What a reader leaves.
+/// The state of the input after a reader has finished.
 pub(super) struct ReadProgress {
-    /// Bytes that were used.
+    /// Number of bytes consumed.
     pub(super) consumed: usize,
-    /// Bytes at the start of the next input that the next reader is to skip.
+    /// Number of bytes at the start of the next input that the next reader must skip.
     pub(super) bytes_to_skip: usize,
-    /// What the rest of the input holds of a frame.
+    /// The incomplete frame, if any, in the remaining input.
     pub(super) partial_frame: PartialMessage,
 }
 
 impl<'a> FrameReader<'a> {
-    /// A reader that first skips the rest of a frame that was too long.
+    /// Creates a reader that first skips the remaining bytes of an oversized frame.
     pub(super) fn new(input: &'a [u8], bytes_to_skip: usize) -> FrameReader<'a> {
         let skipped = bytes_to_skip.min(input.len());
         FrameReader {
@@ -49,11 +51,11 @@
         }
     }
 
-    /// The next frame, if enough of it is there.
+    /// Returns the next complete frame, or the header of an oversized frame; `None` if more input is needed.
     ///
     /// # Errors
     ///
-    /// Those of [`decode_frame`]. The reader stays where the error occurred.
+    /// Returns the errors of [`decode_frame`]. The reader stays at the frame that caused the error.
     pub(super) fn next_frame(&mut self) -> Result<Option<InputFrame<'a>>, FrameError> {
         if self.bytes_to_skip > 0 {
             return Ok(None);
@@ -67,14 +69,14 @@
         Ok(header.map(InputFrame::Oversized))
     }
 
-    /// Skips a frame that is too long, also what is still to come of it.
+    /// Skips an oversized frame, including the bytes that have not arrived yet.
     pub(super) fn skip(&mut self, oversized: &FrameHeader) {
         let available = oversized.encoded_length().min(self.input.len() - self.consumed);
         self.bytes_to_skip = oversized.encoded_length() - available;
         self.advance(available);
     }
 
-    /// Ends the reading of this input.
+    /// Finishes the reading of this input and returns its state.
     pub(super) fn finish(self) -> ReadProgress {
         let is_incomplete = self.consumed < self.input.len() || self.bytes_to_skip > 0;
         ReadProgress {
--- a/src/frontend/frame_connection/protocol_error.rs
+++ b/src/frontend/frame_connection/protocol_error.rs
@@ -1,20 +1,22 @@
-//! Why a connection that speaks frames can't go on.
+//! Errors that close a connection of the frame protocol.
 
 use crate::frontend::frame_codec::FrameError;
 
-/// Why a connection can't go on.
+/// The reason why a connection cannot continue.
+///
+/// Operators search the log for the texts, so they must not change.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(crate) enum ProtocolError {
-    /// Bytes can't be read as a frame.
+    /// The input cannot be decoded as a frame.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A request came on a stream that was used before.
+    /// The stream of a request is reserved or was used before.
     #[error("stream is not new")]
     StreamReused,
-    /// A frame has a type that clients don't send.
+    /// A frame has an unknown type or one that clients must not send.
     #[error("unknown type")]
     UnexpectedType,
-    /// A frame is too long to be read and can't be answered either.
+    /// An oversized frame is not a request on a new stream, so it cannot be answered.
     #[error("a long frame that is no request")]
     OversizedFrame,
     /// A frame was not completed in time.
--- a/src/frontend/frame_connection/tests.rs
+++ b/src/frontend/frame_connection/tests.rs
@@ -4,7 +4,7 @@
 use crate::frontend::frame_codec::{FrameError, FrameType, encode_frame};
 use crate::net::PartialMessage;
 
-/// Operators search the log for these texts.
+/// The error texts must not change, as operators search the log for them.
 #[test]
 fn errors_keep_their_texts() {
     let texts = [
