--- a/src/frontend/limits.rs
+++ b/src/frontend/limits.rs
@@ -13,7 +13,7 @@
 /// Time within which a started message must be complete. An unfinished message occupies a descriptor and a
 /// buffer, and its sender must get a response within 3 s.
 pub(super) const MESSAGE_TIMEOUT: Span = Span::from_millis(2_000);
-/// Maximum amount of unsent output, in bytes, above which no further input of a client is handled.
+/// Amount of unsent output, in bytes, above which no more input is read from a client.
 pub(super) const MAX_UNSENT_BYTES: usize = 256 << 10;
 /// Time that a client has to read the remaining output of a closing connection.
 pub(super) const LINGER_TIMEOUT: Span = Span::from_millis(2_000);
