--- a/src/frontend/jsonrpc_codec/errors.rs
+++ b/src/frontend/jsonrpc_codec/errors.rs
@@ -1,20 +1,20 @@
-//! Error codes, and why a line or a request can't be carried out.
+//! Error codes, and the errors of lines and requests.
 
-/// Codes of errors: the standard's, then this protocol's own.
+/// The codes of errors: those of JSON-RPC 2.0, followed by those of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(i64)]
 pub enum ErrorCode {
     /// The line is not JSON.
     ParseError = -32700,
-    /// It is JSON, but no request.
+    /// The JSON is not a valid request.
     InvalidRequest = -32600,
-    /// There is no such method.
+    /// The method does not exist.
     MethodNotFound = -32601,
-    /// The params can't be used.
+    /// The params are invalid.
     InvalidParams = -32602,
-    /// Not done, and a retry is harmless after `data.cooldown_ms`.
+    /// The call was rejected; a retry is harmless after `data.cooldown_ms`.
     Rejected = -32001,
-    /// Failed; the request may have run.
+    /// The call failed; it may have run.
     Failed = -32002,
     /// The call's deadline has passed; `data.outcome` is `refused` (a retry is harmless) or `failed`.
     DeadlineExceeded = -32003,
@@ -22,55 +22,55 @@
     Cancelled = -32004,
 }
 
-/// Why a line, or a request in it, can't be carried out.
+/// The reason why a line, or a request in it, is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The line is not JSON.
     #[error("not JSON")]
     NotJson,
-    /// The connection ended, or too much time has passed, within a line.
-    #[error("the line has no end")]
+    /// The connection ended or the time limit expired within a line.
+    #[error("incomplete line")]
     IncompleteLine,
-    /// The line is longer than the operator allows.
+    /// The line exceeds the operator's limit.
     #[error("line too long")]
     LineTooLong,
-    /// A batch has no requests.
-    #[error("an empty batch")]
+    /// A batch contains no requests.
+    #[error("empty batch")]
     EmptyBatch,
-    /// A batch has more than [`MAX_BATCH_LENGTH`](super::MAX_BATCH_LENGTH) requests.
-    #[error("too large a batch")]
+    /// A batch contains more than [`MAX_BATCH_LENGTH`](super::MAX_BATCH_LENGTH) requests.
+    #[error("batch too large")]
     BatchTooLarge,
     /// A request is not a JSON object.
-    #[error("not an object")]
+    #[error("request is not an object")]
     NotAnObject,
-    /// A request's id has a type that ids may not have.
-    #[error("id is neither text, a number nor null")]
+    /// The id of a request has an invalid type.
+    #[error("id is neither a string, a number nor null")]
     InvalidId,
     /// A request does not state version 2.0.
     #[error("not JSON-RPC 2.0")]
     UnknownVersion,
-    /// A request names no method.
-    #[error("no method")]
+    /// The method of a request is missing or not a string.
+    #[error("method is missing or not a string")]
     MissingMethod,
-    /// A request's params have a type that params may not have.
+    /// The params of a request have an invalid type.
     #[error("params are neither an object nor an array")]
     InvalidParamsType,
     /// `cancel` was sent with an id.
-    #[error("cancel is a notification")]
+    #[error("cancel must be a notification")]
     CancelWithId,
-    /// A call of this id is open on the connection.
+    /// A call with this id is already open on the connection.
     #[error("id is in use")]
     IdInUse,
-    /// There is no method of this name.
+    /// The method does not exist.
     #[error("no such method")]
     UnknownMethod,
-    /// A call's params can't be used.
+    /// The params of a call are invalid.
     #[error(transparent)]
     Params(#[from] ParamsError),
 }
 
 impl RequestError {
-    /// The code of the error response.
+    /// Returns the code of the error response.
     pub fn code(self) -> ErrorCode {
         match self {
             RequestError::NotJson | RequestError::IncompleteLine => ErrorCode::ParseError,
@@ -90,31 +90,31 @@
     }
 }
 
-/// Why the params of a call can't be used.
+/// The reason why the params of a call are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParamsError {
-    /// They are an array.
-    #[error("params are by name here")]
+    /// The params are an array.
+    #[error("params must be passed by name")]
     Positional,
-    /// One is missing.
-    #[error("no {0}")]
+    /// A required parameter is missing.
+    #[error("{0} is missing")]
     Missing(&'static str),
-    /// One is not text.
-    #[error("{0} is not text")]
+    /// A parameter is not a string.
+    #[error("{0} is not a string")]
     NotText(&'static str),
-    /// One is not an id.
+    /// A parameter is not an id.
     #[error("{0} is not 16 hex digits")]
     NotAnId(&'static str),
-    /// One is missing or not a whole number.
-    #[error("{0} is no whole number")]
+    /// A parameter is missing or not a non-negative integer.
+    #[error("{0} is missing or not a non-negative integer")]
     NotWholeNumber(&'static str),
-    /// One is not a number of zero or more.
-    #[error("odd {0}")]
+    /// A parameter is not a finite, non-negative number.
+    #[error("{0} is not a non-negative number")]
     InvalidNumber(&'static str),
-    /// The body is not in base64.
+    /// The body is not valid base64.
     #[error("body is not base64")]
     BodyNotBase64,
-    /// The body is longer than a request's may be.
+    /// The body exceeds the maximum size.
     #[error("body too large")]
     BodyTooLarge,
 }
--- a/src/frontend/jsonrpc_codec/request.rs
+++ b/src/frontend/jsonrpc_codec/request.rs
@@ -1,4 +1,4 @@
-//! Lines that clients send.
+//! Decoding of the lines that clients send.
 
 use super::{ParamsError, RequestError, VERSION};
 use crate::frontend::conversions::{load_time, parse_hex_id, response_deadline};
@@ -9,7 +9,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde_json::{Map, Value};
 
-/// Requests that one batch may have.
+/// Maximum number of requests in a batch.
 pub const MAX_BATCH_LENGTH: usize = 64;
 
 /// The names of the methods.
@@ -19,33 +19,33 @@
     pub(super) const READY: &str = "ready";
 }
 
-/// A request of a line.
+/// A decoded request.
 #[derive(Debug, PartialEq)]
 pub enum Request {
-    /// It can't be carried out and gets an error under this id, null where it has none.
+    /// An invalid request, which is answered with an error.
     Invalid {
-        /// The id that the request has, or null.
+        /// The id of the request, or null if it has no valid id.
         id: Value,
-        /// What is wrong with it.
+        /// The reason why the request is invalid.
         error: RequestError,
     },
-    /// A notification that asks for nothing.
+    /// A notification that has no effect.
     Ignored,
     /// A call.
     Call {
-        /// The id of its response.
+        /// The id of the call and of its response.
         id: Value,
-        /// What is called.
+        /// The params of the call.
         params: Box<CallParams>,
     },
-    /// The call of this id is no longer waited for.
+    /// A notification that the client no longer waits for a call.
     Cancel {
-        /// The call's id.
+        /// The id of the call.
         call: Value,
     },
-    /// Whether the scheduler is ready.
+    /// A question whether the scheduler is ready.
     Ready {
-        /// The id of the response.
+        /// The id of the request and of its response.
         id: Value,
     },
 }
@@ -58,37 +58,37 @@
         }
     }
 
-    /// Whether the request gets a response of its own.
+    /// Returns whether the request is answered with a response of its own.
     pub fn has_response(&self) -> bool {
         !matches!(self, Request::Ignored | Request::Cancel { .. })
     }
 }
 
-/// What a call asks for.
+/// The params of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallParams {
-    /// Name of the request class.
+    /// The name of the request class.
     pub class: String,
     /// The requested function.
     pub function: FunctionId,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the response, in milliseconds.
     pub timeout_millis: u64,
-    /// The client's own id for the request, 16 hex digits.
+    /// The client's id for the request, 16 hexadecimal digits.
     pub correlation_id: Option<String>,
-    /// Idempotency key, in keyed classes.
+    /// The idempotency key, in keyed classes.
     pub key: Option<String>,
-    /// Memory of one loaded instance, in MB.
+    /// The memory of one loaded instance, in MB.
     pub memory_mb: f64,
-    /// Requests that one instance runs at a time.
+    /// The number of requests that one instance runs at a time.
     pub concurrency: f64,
-    /// Usual time to load the function, where known.
+    /// The typical time to load the function, if known.
     pub load_time: Option<Span>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
 }
 
 impl CallParams {
-    /// The parameters of a call received at `now`.
+    /// Converts the params of a call received at `now` to the parameters of a request.
     pub fn into_request_parameters(self, now: Time) -> RequestParameters {
         RequestParameters {
             class: self.class,
@@ -103,16 +103,18 @@
     }
 }
 
-/// What a line holds.
+/// The content of a line.
 #[derive(Debug, PartialEq)]
 pub enum Message {
     /// One request.
     Single(Request),
-    /// A batch, whose responses go out in one line.
+    /// A batch, whose responses are sent in one line.
     Batch(Vec<Request>),
 }
 
-/// Reads a line. What can't be read is a [`Request::Invalid`], as its sender gets an error response.
+/// Decodes a line.
+///
+/// Invalid input is decoded as [`Request::Invalid`], because it is answered with an error response.
 pub fn decode_line(line: &[u8]) -> Message {
     let Ok(value) = serde_json::from_slice(line) else {
         return Message::Single(Request::invalid(Value::Null, RequestError::NotJson));
@@ -144,10 +146,10 @@
     }
 }
 
-/// A request's method and its params by name.
+/// The method of a request and its named params.
 struct Invocation<'a> {
     method: &'a str,
-    /// None where there are none. Whether positional params are an error is up to the method.
+    /// `None` if the request has no params. Positional params are an error only if the method uses params.
     params: Result<Option<&'a Map<String, Value>>, ParamsError>,
 }
 
@@ -166,7 +168,7 @@
     Ok(Invocation { method, params })
 }
 
-/// Reads a request without an id. One that can't be used gets no error either.
+/// Decodes a request without an id. An invalid notification is ignored, as notifications get no response.
 fn decode_notification(invocation: Invocation) -> Request {
     let params = invocation.params.ok().flatten();
     let call = params.and_then(|params| params.get("id"));
@@ -235,7 +237,7 @@
     number.ok_or(ParamsError::NotWholeNumber(name))
 }
 
-/// A finite number of zero or more.
+/// Returns a finite, non-negative param, or `default` if it is absent.
 fn non_negative_number(
     params: &Map<String, Value>,
     name: &'static str,
--- a/src/frontend/jsonrpc_codec/response.rs
+++ b/src/frontend/jsonrpc_codec/response.rs
@@ -1,4 +1,4 @@
-//! Lines that clients get.
+//! Encoding of the responses that clients receive.
 
 use super::{ErrorCode, RequestError, VERSION};
 use crate::model::Span;
@@ -7,7 +7,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde_json::{Value, json};
 
-/// The response that tells how a call has ended.
+/// Encodes the final response to a call.
 pub fn encode_response(id: &Value, response: &Response) -> Value {
     match &response.outcome {
         Outcome::Served(body) => encode_result(id, json!({"body": BASE64.encode(body)})),
@@ -30,17 +30,17 @@
     encode_error_object(id, ErrorCode::DeadlineExceeded, "deadline passed", Some(data))
 }
 
-/// The response to a question whether the scheduler is ready.
+/// Encodes the response to a `ready` request.
 pub fn encode_readiness(id: &Value, ready: bool) -> Value {
     encode_result(id, json!({"ready": ready}))
 }
 
-/// The response to a call that its client has cancelled.
+/// Encodes the response to a call that its client has cancelled.
 pub fn encode_cancelled(id: &Value) -> Value {
     encode_error_object(id, ErrorCode::Cancelled, "cancelled", None)
 }
 
-/// The response to a request that can't be carried out.
+/// Encodes the response to an invalid request.
 pub fn encode_error(id: &Value, error: RequestError) -> Value {
     encode_error_object(id, error.code(), &error.to_string(), None)
 }
--- a/src/frontend/jsonrpc_codec/tests.rs
+++ b/src/frontend/jsonrpc_codec/tests.rs
@@ -3,7 +3,7 @@
 use crate::scheduler::{Outcome, Response};
 use serde_json::{Value, json};
 
-/// The error response that a line gets.
+/// Returns the error response to a line.
 fn error_response(line: &str) -> Value {
     match decode_line(line.as_bytes()) {
         Message::Single(Request::Invalid { id, error }) => encode_error(&id, error),
@@ -11,7 +11,7 @@
     }
 }
 
-/// Checks the error code and the id, as JSON text, that a line is answered with.
+/// Checks the error code and the id, as JSON text, of the response to a line.
 fn assert_error(line: &str, expected: ErrorCode, id: &str) {
     let response = error_response(line);
     assert_eq!(
@@ -181,34 +181,46 @@
     }
 }
 
-/// Clients see these texts and codes.
+/// The texts and codes of errors are sent to clients.
 #[test]
 fn errors_keep_their_texts_and_codes() {
     let errors = [
         (RequestError::NotJson, -32700, "not JSON"),
-        (RequestError::IncompleteLine, -32700, "the line has no end"),
+        (RequestError::IncompleteLine, -32700, "incomplete line"),
         (RequestError::LineTooLong, -32600, "line too long"),
-        (RequestError::EmptyBatch, -32600, "an empty batch"),
-        (RequestError::BatchTooLarge, -32600, "too large a batch"),
-        (RequestError::NotAnObject, -32600, "not an object"),
+        (RequestError::EmptyBatch, -32600, "empty batch"),
+        (RequestError::BatchTooLarge, -32600, "batch too large"),
+        (RequestError::NotAnObject, -32600, "request is not an object"),
         (
             RequestError::InvalidId,
             -32600,
-            "id is neither text, a number nor null",
+            "id is neither a string, a number nor null",
         ),
         (RequestError::UnknownVersion, -32600, "not JSON-RPC 2.0"),
-        (RequestError::MissingMethod, -32600, "no method"),
+        (
+            RequestError::MissingMethod,
+            -32600,
+            "method is missing or not a string",
+        ),
         (
             RequestError::InvalidParamsType,
             -32600,
             "params are neither an object nor an array",
         ),
-        (RequestError::CancelWithId, -32600, "cancel is a notification"),
+        (
+            RequestError::CancelWithId,
+            -32600,
+            "cancel must be a notification",
+        ),
         (RequestError::IdInUse, -32600, "id is in use"),
         (RequestError::UnknownMethod, -32601, "no such method"),
-        (ParamsError::Positional.into(), -32602, "params are by name here"),
-        (ParamsError::Missing("class").into(), -32602, "no class"),
-        (ParamsError::NotText("key").into(), -32602, "key is not text"),
+        (
+            ParamsError::Positional.into(),
+            -32602,
+            "params must be passed by name",
+        ),
+        (ParamsError::Missing("class").into(), -32602, "class is missing"),
+        (ParamsError::NotText("key").into(), -32602, "key is not a string"),
         (
             ParamsError::NotAnId("ref").into(),
             -32602,
@@ -217,9 +229,13 @@
         (
             ParamsError::NotWholeNumber("allow_ms").into(),
             -32602,
-            "allow_ms is no whole number",
+            "allow_ms is missing or not a non-negative integer",
+        ),
+        (
+            ParamsError::InvalidNumber("lanes").into(),
+            -32602,
+            "lanes is not a non-negative number",
         ),
-        (ParamsError::InvalidNumber("lanes").into(), -32602, "odd lanes"),
         (ParamsError::BodyNotBase64.into(), -32602, "body is not base64"),
         (ParamsError::BodyTooLarge.into(), -32602, "body too large"),
     ];
