--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -1,7 +1,7 @@
-//! A client's connection that speaks JSON-RPC 2.0 over a Unix socket.
+//! Client connections that speak JSON-RPC 2.0 over a Unix socket.
 //!
-//! A client that closes the connection, or the half it writes on, no longer waits: its calls are
-//! cancelled.
+//! When a client closes the connection or its writing half, it no longer waits for responses, and its open
+//! calls are cancelled.
 
 mod batches;
 mod line_reader;
@@ -23,22 +23,22 @@
 use line_reader::{LINE_FEED, LineReader};
 use serde_json::Value;
 
-/// A connection on which no call is open and nothing comes is closed after this.
+/// Time without input after which a connection without open calls is closed.
 const IDLE_TIMEOUT: Span = Span::from_millis(60_000);
 
-/// A client's connection that speaks JSON-RPC.
+/// A client connection that speaks JSON-RPC.
 pub(crate) type JsonRpcConnection = ClientConnection<JsonRpcProtocol>;
 
 type Session = ClientSession<OpenCall>;
 
-/// A call that has no response yet.
+/// A call that has not been answered yet.
 pub(crate) struct OpenCall {
     id: Value,
-    /// The batch that the call came in.
+    /// The batch that contained the call, if any.
     batch: Option<BatchId>,
 }
 
-/// The protocol's state on one connection.
+/// The state of the JSON-RPC protocol on one connection.
 pub(crate) struct JsonRpcProtocol {
     lines: LineReader,
     batches: Batches,
@@ -47,7 +47,9 @@
 }
 
 impl JsonRpcConnection {
-    /// A connection that was accepted at `now`, with the operator's limit on lines in bytes.
+    /// Creates the state of a connection that was accepted at `now`.
+    ///
+    /// `line_limit` is the operator's limit on the length of a line, in bytes.
     pub(crate) fn new(now: Time, line_limit: usize) -> JsonRpcConnection {
         let protocol = JsonRpcProtocol {
             lines: LineReader::new(line_limit),
@@ -57,7 +59,7 @@
         ClientConnection::with_protocol(protocol, now)
     }
 
-    /// Limits of such a connection's buffers.
+    /// Returns the limits of the connection's buffers.
     pub(crate) fn buffer_limits(line_limit: usize) -> BufferLimits {
         BufferLimits {
             input: line_limit + 1,
@@ -67,9 +69,9 @@
 }
 
 impl JsonRpcProtocol {
-    /// Handles the lines that are complete, while the client reads its responses.
+    /// Handles the complete lines, until too much output is unsent.
     ///
-    /// What is left over is looked at again once they have been written; see [`Protocol::flushed`].
+    /// The remaining lines are handled when the output has been written; see [`Protocol::flushed`].
     fn handle_lines(&mut self, session: &mut Session, socket: &mut BufferedStream, context: &mut Context) {
         while socket.unsent_bytes() <= MAX_UNSENT_BYTES {
             match self.lines.next_line(&mut socket.input) {
@@ -166,7 +168,7 @@
         socket: &mut BufferedStream,
         context: &mut Context,
     ) {
-        // Neither the client nor a cancel could tell two open calls of one id apart.
+        // Responses and cancellations could not be matched to one of two open calls with the same id.
         if find_call(&call.id, session).is_some() {
             let error = encode_error(&call.id, RequestError::IdInUse);
             return self.send(call.batch, error, socket);
@@ -184,7 +186,7 @@
         session.submit(request, call, context);
     }
 
-    /// Rejects a call that is not passed to the scheduler.
+    /// Rejects a call that is not submitted to the scheduler.
     fn reject_call(&mut self, call: &OpenCall, socket: &mut BufferedStream, context: &mut Context) {
         let retry_after = context.shared.scheduler.default_retry_after();
         let outcome = Outcome::Rejected { retry_after };
@@ -202,7 +204,7 @@
         number
     }
 
-    /// Sends a response, or keeps it until its batch is complete.
+    /// Sends a response, or stores it until its batch is complete.
     fn send(&mut self, batch: Option<BatchId>, response: Value, socket: &mut BufferedStream) {
         let line = match batch {
             Some(batch) => self.batches.add_response(batch, response),
@@ -214,17 +216,17 @@
     }
 }
 
-/// The stream of an open call, by the id that its client gave it.
+/// Returns the stream of the open call with this client-assigned id.
 fn find_call(id: &Value, session: &Session) -> Option<StreamId> {
     session.find(|call| call.id == *id)
 }
 
-/// An id for a request whose client has given it none.
+/// Returns a correlation id for a request whose client has not set one.
 fn generated_correlation_id(origin: RequestOrigin) -> String {
     format!("{:08x}{:08x}", origin.connection.0 as u32, origin.stream.0 as u32)
 }
 
-/// Reports to the client that a line can't be read.
+/// Reports to the client that a line is invalid.
 fn reject_line(error: RequestError, socket: &mut BufferedStream, context: &mut Context) {
     context.shared.scheduler.counters().client_connections_malformed += 1;
     enqueue_line(&encode_error(&Value::Null, error), socket);
@@ -251,7 +253,7 @@
         let buffered_before = socket.input.len();
         self.handle_lines(session, socket, context);
         if !socket.input_ended {
-            // A line that is held back until its client reads is not incomplete.
+            // A complete line that waits for the client to read its responses does not count as incomplete.
             let partial_line = self.lines.partial_line(&socket.input, buffered_before);
             session.timers.track_message(partial_line, context.now);
             return Ok(ConnectionFlow::Continue);
@@ -259,7 +261,7 @@
         if socket.input.iter().all(u8::is_ascii_whitespace) || socket.input.contains(&LINE_FEED) {
             return Ok(ConnectionFlow::Close);
         }
-        // Reported in case the client still reads.
+        // The error is reported because the client may still read responses.
         Err(RequestError::IncompleteLine)
     }
 
--- a/src/frontend/jsonrpc_connection/batches.rs
+++ b/src/frontend/jsonrpc_connection/batches.rs
@@ -1,28 +1,31 @@
-//! Batches of JSON-RPC requests, which are answered with one line each.
+//! Batches of JSON-RPC requests, each of which is answered with one line.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A batch of requests on this connection.
+/// The id of a batch of requests; unique on its connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BatchId(pub(super) u64);
 
-/// A batch of which some responses are still to come.
+/// A batch that is not completely answered.
 struct OpenBatch {
     pending_parts: usize,
     responses: Vec<Value>,
 }
 
-/// The batches of which some responses are still to come.
+/// The batches of a connection that are not completely answered.
 #[derive(Default)]
 pub(super) struct Batches {
     open: BTreeMap<BatchId, OpenBatch>,
 }
 
 impl Batches {
-    /// Begins a batch to which so many responses are due. [`Batches::mark_requests_handled`] is to follow.
+    /// Begins a batch that gets this number of responses.
+    ///
+    /// The caller must call [`Batches::mark_requests_handled`] when it has handled all requests of the batch.
     pub(super) fn begin(&mut self, id: BatchId, responses: usize) {
-        // One more is missing until all requests have been handled, as some are answered while they are.
+        // The handling of the requests counts as one more part, so that the batch is not complete before all
+        // of them are handled, even if each is answered at once.
         let batch = OpenBatch {
             pending_parts: 1 + responses,
             responses: Vec::new(),
@@ -30,12 +33,14 @@
         self.open.insert(id, batch);
     }
 
-    /// All requests of a batch have been handled. Gives its responses if it is complete and has any.
+    /// Records that all requests of a batch were handled.
+    ///
+    /// Returns its responses if the batch is complete and has any.
     pub(super) fn mark_requests_handled(&mut self, id: BatchId) -> Option<Value> {
         self.complete_part(id)
     }
 
-    /// Keeps a response until its batch is complete. Gives all its responses then.
+    /// Adds a response to its batch; returns all responses of the batch if it is complete.
     pub(super) fn add_response(&mut self, id: BatchId, response: Value) -> Option<Value> {
         self.open.get_mut(&id)?.responses.push(response);
         self.complete_part(id)
--- a/src/frontend/jsonrpc_connection/line_reader.rs
+++ b/src/frontend/jsonrpc_connection/line_reader.rs
@@ -1,20 +1,20 @@
-//! Splits a connection's input into lines and skips those that are too long.
+//! Splitting of a connection's input into lines, with overlong lines skipped.
 
 use crate::frontend::jsonrpc_codec::RequestError;
 use crate::net::PartialMessage;
 
 pub(super) const LINE_FEED: u8 = b'\n';
 
-/// Reads lines from a connection's input.
+/// A reader of lines from a connection's input.
 pub(super) struct LineReader {
-    /// Longest line in bytes.
+    /// Maximum length of a line without its line feed, in bytes.
     limit: usize,
-    /// The rest of a line that was too long is skipped.
+    /// Whether the input continues an overlong line, which is skipped up to its line feed.
     is_skipping_line: bool,
 }
 
 impl LineReader {
-    /// A reader of lines that are no longer than this, without their line feed.
+    /// Creates a reader of lines of at most `limit` bytes, without their line feed.
     pub(super) fn new(limit: usize) -> LineReader {
         LineReader {
             limit,
@@ -22,7 +22,11 @@
         }
     }
 
-    /// Takes the next line that is complete from the input, without its line feed; an error if it was too long.
+    /// Removes the next complete line from the input and returns it without its line feed.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`RequestError::LineTooLong`] if the line exceeds the limit.
     pub(super) fn next_line(&mut self, input: &mut Vec<u8>) -> Option<Result<Vec<u8>, RequestError>> {
         loop {
             let end = input.iter().position(|byte| *byte == LINE_FEED)?;
@@ -38,11 +42,11 @@
         }
     }
 
-    /// Drops the start of a line that is too long already.
+    /// Discards the start of an incomplete line that already exceeds the limit.
     ///
     /// # Errors
     ///
-    /// [`RequestError::LineTooLong`], once for each such line.
+    /// Returns [`RequestError::LineTooLong`] once for each such line.
     pub(super) fn drop_long_line(&mut self, input: &mut Vec<u8>) -> Result<(), RequestError> {
         if input.len() <= self.limit || input.contains(&LINE_FEED) {
             return Ok(());
@@ -54,7 +58,9 @@
         Err(RequestError::LineTooLong)
     }
 
-    /// What the rest of the input holds of a line, after a read that began with so many bytes.
+    /// Returns the state of the incomplete line, if any, after a read.
+    ///
+    /// `buffered_before` is the length of the input before its lines were handled.
     pub(super) fn partial_line(&self, input: &[u8], buffered_before: usize) -> PartialMessage {
         let is_incomplete = self.is_skipping_line || !input.is_empty() && !input.contains(&LINE_FEED);
         PartialMessage::after_read(is_incomplete, input.len() < buffered_before)
