--- a/src/frontend/jsonrpc_codec/request.rs
+++ b/src/frontend/jsonrpc_codec/request.rs
@@ -237,7 +237,7 @@
     number.ok_or(ParamsError::NotWholeNumber(name))
 }
 
-/// Returns a finite, non-negative param, or `default` if it is absent.
+/// Returns the finite, non-negative number of a parameter, or `default` if the parameter is absent.
 fn non_negative_number(
     params: &Map<String, Value>,
     name: &'static str,
