--- a/crates/fault-soak/src/environment/health.rs
+++ b/crates/fault-soak/src/environment/health.rs
@@ -1,18 +1,21 @@
-//! Checks of the schedulers at rest. What is wrong is recorded as [`ProcessEvent::Unhealthy`].
+//! Health checks of idle schedulers.
+//!
+//! A failed check is recorded as [`ProcessEvent::Unhealthy`].
 
 use super::{Environment, Scheduler};
 use crate::recorder::{HealthProblem, ProcessEvent};
 use std::sync::Arc;
 
-/// Threads of a scheduler: its event loop and its log.
+/// Maximum number of threads of a scheduler: its event loop and its log writer.
 const MAX_THREADS: usize = 2;
-/// Descriptors of a scheduler without clients, beside the connections to workers.
+/// Maximum number of file descriptors of a scheduler without clients, excluding connections to workers.
 const BASE_DESCRIPTORS: usize = 40;
-/// Connections to one worker at most.
+/// Maximum number of connections from a scheduler to one worker.
 const CONNECTIONS_PER_WORKER: usize = 16;
 
 impl Environment {
-    /// Checks that schedulers without clients hold few descriptors and threads, and watch the endpoint list.
+    /// Checks that running schedulers without clients hold few file descriptors and threads, and watch the
+    /// endpoint list.
     pub(crate) fn check_idle_schedulers(&self) {
         for scheduler in self.running_schedulers() {
             self.check_resources(scheduler);
--- a/crates/fault-soak/src/environment/mod.rs
+++ b/crates/fault-soak/src/environment/mod.rs
@@ -1,11 +1,14 @@
-//! The environment of a run: real schedulers with stand-ins for everything around them. It owns the processes, sockets and
-//! tasks; faults act on it, and what happens in it is recorded.
+//! The test environment of a run: real scheduler processes, and stand-ins for everything they talk to.
 //!
-//! - [`scheduler`]: a scheduler under test, with its files, its log and its process.
-//! - [`client`], [`worker`] and [`discovery`]: the stand-ins that the schedulers talk to; [`proxy`]: the network to a worker.
-//! - [`switches`]: what faults change in the stand-ins.
-//! - [`settings`]: the configuration that the schedulers are given.
-//! - [`health`]: checks of the schedulers at rest.
+//! The environment owns the processes, sockets and tasks. Faults are injected into it, and what happens in it
+//! is recorded.
+//!
+//! - [`scheduler`] manages a scheduler under test: its files, its log and its process.
+//! - [`client`], [`worker`] and [`discovery`] are the stand-ins that the schedulers talk to.
+//! - [`proxy`] is the network between the schedulers and a worker.
+//! - [`switches`] turns faults of the stand-ins on and off.
+//! - [`settings`] generates the configuration of the schedulers.
+//! - [`health`] checks idle schedulers at the end of a run.
 
 mod client;
 mod discovery;
@@ -32,10 +35,10 @@
 use std::time::{Duration, Instant};
 use worker::Worker;
 
-/// Clients of a crowd.
+/// Number of additional clients that [`Environment::run_crowd`] starts.
 const CROWD_CLIENTS: usize = 30;
 
-/// The size of an environment.
+/// The number of processes and stand-ins in an environment.
 #[derive(Clone, Debug)]
 pub(crate) struct EnvironmentSize {
     pub(crate) schedulers: usize,
@@ -43,18 +46,18 @@
     pub(crate) clients_per_scheduler: usize,
 }
 
-/// A worker with its entry in the endpoint list.
+/// A stand-in worker and its entry in the endpoint list.
 #[derive(Debug)]
 pub(crate) struct ListedWorker {
     pub(crate) stand_in: Arc<Worker>,
     pub(crate) address: SocketAddr,
-    /// The id of its current process.
+    /// The endpoint id of the worker's current process.
     pub(crate) id: AtomicU32,
-    /// Held while its process is being replaced.
+    /// Locked while the worker's process is being replaced.
     pub(crate) replacement: tokio::sync::Mutex<()>,
 }
 
-/// Everything that runs in a run.
+/// The schedulers of a run and the stand-ins around them.
 #[derive(Debug)]
 pub(crate) struct Environment {
     pub(crate) recorder: Arc<Recorder>,
@@ -67,7 +70,9 @@
 }
 
 impl Environment {
-    /// Starts the stand-ins and then the schedulers, and waits until these are ready.
+    /// Starts the stand-ins, then one scheduler after another.
+    ///
+    /// Waits until each scheduler is ready, has exited, or has failed to become ready in time.
     pub(crate) async fn start(
         seed: u64,
         size: &EnvironmentSize,
@@ -99,7 +104,7 @@
         Ok(environment)
     }
 
-    /// Starts the clients, which send requests until [`Environment::stop_clients`].
+    /// Starts the clients, which send requests until [`Environment::stop_clients`] is called.
     pub(crate) fn start_clients(&self, clients_per_scheduler: usize) {
         for scheduler in &self.schedulers {
             for _ in 0..clients_per_scheduler {
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Has many more clients send requests to a scheduler for some time.
+    /// Runs [`CROWD_CLIENTS`] additional clients against one scheduler for the given time.
     pub(crate) async fn run_crowd(&self, scheduler: &Arc<Scheduler>, length: Duration) {
         let ends_at = Instant::now() + length;
         let crowd: Vec<_> = (0..CROWD_CLIENTS)
@@ -122,37 +127,37 @@
             })
             .collect();
         for client in crowd {
-            // A task fails by a panic only, which the runtime has printed.
+            // The task fails only if it panics, and the panic message has already been printed.
             let _ = client.await;
         }
     }
 
-    /// Has the clients send no further request.
+    /// Tells all clients to send no further requests.
     pub(crate) fn stop_clients(&self) {
         self.clients.stop();
     }
 
-    /// The scheduler that a fault's target denotes.
+    /// Returns the scheduler that a fault's target number selects.
     pub(crate) fn scheduler(&self, target: usize) -> &Arc<Scheduler> {
         &self.schedulers[target % self.schedulers.len()]
     }
 
-    /// The worker that a fault's target denotes.
+    /// Returns the worker that a fault's target number selects.
     pub(crate) fn worker(&self, target: usize) -> &ListedWorker {
         &self.workers[target % self.workers.len()]
     }
 
-    /// An id for a new worker process.
+    /// Returns an unused endpoint id for a new worker process.
     pub(crate) fn next_worker_id(&self) -> u32 {
         self.next_worker_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Writes a scheduler's configuration as of now.
+    /// Writes a scheduler's current configuration to its configuration file.
     pub(crate) fn write_config(&self, scheduler: &Scheduler) -> Result<()> {
         scheduler.write_config(&self.configuration_of(scheduler))
     }
 
-    /// Writes the first `length` bytes of a scheduler's configuration as of now.
+    /// Writes only the first `length` bytes of a scheduler's current configuration to its configuration file.
     pub(crate) fn write_truncated_config(&self, scheduler: &Scheduler, length: usize) -> Result<()> {
         let configuration = self.configuration_of(scheduler);
         scheduler.write_config(&configuration[..length.min(configuration.len())])
@@ -170,7 +175,7 @@
         configuration.to_string()
     }
 
-    /// Terminates all schedulers, and waits until they have exited.
+    /// Terminates all schedulers and waits until they have exited.
     pub(crate) async fn terminate_schedulers(&self) {
         let exits: Vec<_> = self
             .schedulers
@@ -181,13 +186,13 @@
             })
             .collect();
         for exit in exits {
-            // A task fails by a panic only, which the runtime has printed.
+            // The task fails only if it panics, and the panic message has already been printed.
             let _ = exit.await;
         }
     }
 }
 
-/// Starts the workers, each behind a proxy, and publishes them as ready.
+/// Starts the stand-in workers, each behind its own proxy, and publishes them as ready in the endpoint list.
 async fn start_workers(
     count: usize,
     discovery: &Discovery,
@@ -210,12 +215,12 @@
     Ok(workers)
 }
 
-/// The id of the first process of the worker with this index.
+/// Returns the endpoint id of the first process of the worker with this index.
 fn first_worker_id(index: usize) -> u32 {
     index as u32 + 1
 }
 
-/// An address that nothing listens on, for all incarnations of a scheduler.
+/// Returns a free loopback address, which all incarnations of a scheduler listen on.
 fn free_address(seed: u64, index: usize) -> Result<SocketAddr> {
     let host = Ipv4Addr::new(127, 64 + (seed % 128) as u8, 1 + index as u8, 1);
     let listener = TcpListener::bind((host, 0))?;
