--- a/crates/fault-soak/src/environment/settings.rs
+++ b/crates/fault-soak/src/environment/settings.rs
@@ -1,37 +1,40 @@
-//! The configuration of the schedulers of a run.
+//! The configuration that the schedulers of a run are started with.
 
 use crate::request::RequestClass;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A draining worker gets no new work this long after the scheduler was notified.
+/// The grace period for a draining worker. It starts when a scheduler is notified of the drain, and after it
+/// the scheduler sends the worker no new work.
 pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// How long workers discard duplicates of a request with an idempotency key.
+/// The time during which workers discard duplicates of a request with an idempotency key.
 pub(crate) const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
-/// Attempts of a request at most.
+/// Maximum number of attempts per request.
 pub(crate) const MAX_ATTEMPTS: usize = 4;
-/// The longest deadlines of the deployments, in milliseconds; a seed selects one.
+/// The longest request deadlines of the tested deployments, in milliseconds. The seed of a run selects one.
 const LONGEST_DEADLINES_MS: [u64; 4] = [2_000, 400, 3_500, 1_000];
-/// The longest deadline counts as no more than this for the kill of a terminated process (page PROTOCOL).
+/// Cap on the longest deadline in the calculation of the termination timeout (page PROTOCOL).
 const MAX_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// A terminated process is killed so long after the longest deadline (page PROTOCOL).
+/// Time that the termination timeout adds to the longest deadline (page PROTOCOL).
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The latency objective, as a fraction of the deadline.
+/// The latency objective of a request class, as a fraction of its deadline.
 const OBJECTIVE_FRACTION: f64 = 0.3;
 
-/// The longest deadline of the deployment of a seed: that of all its classes.
+/// Returns the longest deadline of the deployment that a seed selects. All its request classes have this
+/// deadline.
 pub(crate) fn longest_deadline(seed: u64) -> Duration {
     let place = seed % LONGEST_DEADLINES_MS.len() as u64;
     Duration::from_millis(LONGEST_DEADLINES_MS[place as usize])
 }
 
-/// How long after SIGTERM a process is killed, which is as early as the page allows.
+/// Returns how long after SIGTERM a process that is still running is killed. This is the shortest time that
+/// the page PROTOCOL allows.
 pub(super) fn termination_timeout(longest_deadline: Duration) -> Duration {
     longest_deadline.min(MAX_LONGEST_DEADLINE) + KILL_DELAY
 }
 
-/// The configuration of the scheduler with this index; `known_events` is what the endpoint list holds so far.
+/// Returns the configuration of one scheduler. `known_events` holds all events of the endpoint list so far.
 pub(super) fn configuration(
     index: usize,
     schedulers: usize,
