--- a/crates/fault-soak/src/environment/proxy.rs
+++ b/crates/fault-soak/src/environment/proxy.rs
@@ -1,4 +1,4 @@
-//! The network between the schedulers and one worker: a proxy that injects its faults.
+//! A TCP proxy between the schedulers and one worker, which injects network faults.
 
 use super::listener;
 use super::switches::WorkerSwitches;
@@ -11,16 +11,16 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Bytes that are read at a time.
+/// Size of the read buffer, in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
-/// Longest delay of one buffer, in milliseconds.
+/// Exclusive upper bound of the random delay of one buffer, in milliseconds.
 const MAX_DELAY_MS: u64 = 60;
-/// Most bytes that are written at a time during fragmentation.
+/// Maximum number of bytes per write while fragmentation is on.
 const MAX_FRAGMENT_BYTES: usize = 40;
-/// How many of a hundred buffers end in a reset during resets.
+/// Percentage of buffers that are dropped together with their connection while resets are on.
 const RESETS_PERCENT: u8 = 20;
 
-/// Listens at the worker's public address, and forwards to the worker until the runtime ends.
+/// Opens the worker's public address and forwards its connections to `upstream` until the runtime shuts down.
 pub(super) async fn listen(worker: &Arc<Worker>, upstream: SocketAddr) -> io::Result<SocketAddr> {
     let (listener, address) = listener::bind().await?;
     let worker = Arc::clone(worker);
@@ -30,7 +30,8 @@
     Ok(address)
 }
 
-/// Forwards both ways until one side closes, the network resets the connection, or the worker's process exits.
+/// Forwards data in both directions until either side closes the connection, a fault resets it, or the
+/// worker's process exits.
 async fn forward(worker: Arc<Worker>, stream: TcpStream, upstream: SocketAddr) {
     if worker.is_down() {
         return;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Copies bytes one way until an end is closed or the network resets the connection.
+/// Copies data in one direction until either side closes the connection or a fault resets it.
 async fn copy(
     switches: &WorkerSwitches,
     mut input: impl AsyncRead + Unpin,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Writes all bytes, a few at a time during fragmentation.
+/// Writes all bytes, a few at a time while fragmentation is on.
 async fn write(
     switches: &WorkerSwitches,
     mut bytes: &[u8],
--- a/crates/fault-soak/src/environment/switches.rs
+++ b/crates/fault-soak/src/environment/switches.rs
@@ -1,13 +1,13 @@
-//! The switches by which faults change what the stand-ins do.
+//! Switches that turn faults of the stand-ins on and off.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a waiting task looks at a switch.
+/// How often a waiting task polls a switch.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A switch that several faults can activate at once: it is on while any of them is active.
+/// A switch that several faults can activate at the same time. It is on while at least one of them is active.
 #[derive(Debug, Default)]
 pub(crate) struct FaultSwitch {
     active_faults: AtomicU64,
@@ -15,26 +15,26 @@
 }
 
 impl FaultSwitch {
-    /// A fault starts.
+    /// Registers the start of a fault at the time `now`.
     pub(crate) fn activate(&self, now: Duration) {
         self.active_faults.fetch_add(1, Ordering::Relaxed);
         self.last_change_ms
             .store(now.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// A fault ends.
+    /// Registers the end of a fault at the time `now`.
     pub(crate) fn deactivate(&self, now: Duration) {
         self.active_faults.fetch_sub(1, Ordering::Relaxed);
         self.last_change_ms
             .store(now.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Whether any fault is active.
+    /// Returns whether any fault is active.
     pub(crate) fn is_on(&self) -> bool {
         self.active_faults.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether any fault is active or was within the last `span`.
+    /// Returns whether any fault is active or was active within the last `span`.
     pub(crate) fn was_on(&self, now: Duration, span: Duration) -> bool {
         let last_change = self.last_change_ms.load(Ordering::Relaxed);
         self.is_on() || last_change > 0 && now.as_millis() as u64 <= last_change + span.as_millis() as u64
@@ -48,7 +48,7 @@
     }
 }
 
-/// Faults of one worker and of the network to it.
+/// Faults of one worker and of the network between it and the schedulers.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerSwitches {
     pub(crate) stall: FaultSwitch,
@@ -59,9 +59,9 @@
     pub(crate) fragmentation: FaultSwitch,
     pub(crate) resets: FaultSwitch,
     pub(crate) black_hole: FaultSwitch,
-    /// Its process completes what it has, and rejects what is new.
+    /// The worker's process completes the work it already has and rejects new work.
     pub(crate) process_is_draining: AtomicBool,
-    /// Its process has exited, and no other process has taken its address yet.
+    /// The worker's process has exited and no new process has taken over its address yet.
     pub(crate) process_is_down: AtomicBool,
 }
 
@@ -81,7 +81,7 @@
     pub(crate) black_hole: FaultSwitch,
 }
 
-/// Faults of all clients.
+/// Faults of the clients, which affect all clients of a run.
 #[derive(Debug, Default)]
 pub(crate) struct ClientSwitches {
     pub(crate) abandon_requests: FaultSwitch,
