--- a/crates/fault-soak/src/environment/frame_codec.rs
+++ b/crates/fault-soak/src/environment/frame_codec.rs
@@ -1,31 +1,32 @@
-//! The clients' side of the frame protocol (page PROTOCOL), written without the scheduler's own codec so that a fault in
-//! that shows.
+//! The client side of the frame protocol (page PROTOCOL).
+//!
+//! It does not share code with the scheduler's codec, so that a bug in that codec shows up in a run.
 
 use crate::request::{RequestClass, RequestId, ResponseStatus};
 use anyhow::{Result, bail, ensure};
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// Frame types.
+// Frame types.
 const REQUEST: u8 = 0;
 const RESPONSE: u8 = 1;
 const CANCEL: u8 = 2;
 const READINESS_CHECK: u8 = 6;
 const READINESS: u8 = 7;
 const GO_AWAY: u8 = 9;
-/// Status codes.
+// Status codes of responses.
 const CODE_SERVED: u8 = 79;
 const CODE_REJECTED: u8 = 66;
-/// Largest value of a frame's length.
+/// Largest accepted value of a frame's length field, in bytes.
 const MAX_LENGTH: usize = 262_144;
-/// Bytes of a frame after its length and before its payload: the type and the stream.
+/// Number of bytes between a frame's length field and its payload: the frame type and the stream id.
 const HEADER_LENGTH: usize = 5;
-/// The stream of a readiness check.
+/// The stream id of a readiness check.
 const READINESS_STREAM: u32 = 1;
-/// Bytes that no scheduler can take for a frame: a length below that of the header.
+/// A malformed frame: its length field is smaller than a header.
 pub(super) const MALFORMED_FRAME: [u8; 4] = [0; 4];
 
-/// A request as it is sent.
+/// A request frame that a client sends.
 #[derive(Debug)]
 pub(super) struct RequestFrame<'a> {
     pub(super) stream: u32,
@@ -46,12 +47,12 @@
     },
     /// The response to a readiness check.
     Readiness { is_ready: bool },
-    /// The scheduler wants no further request on this connection.
+    /// The scheduler accepts no further requests on this connection.
     GoAway,
 }
 
 impl RequestFrame<'_> {
-    /// The bytes of the frame.
+    /// Encodes the frame.
     pub(super) fn encode(&self) -> Vec<u8> {
         let fields = [
             ("service", self.class.service_name().to_owned()),
@@ -73,12 +74,12 @@
     }
 }
 
-/// The frame that cancels the request on a stream.
+/// Encodes a frame that cancels the request on a stream.
 pub(super) fn encode_cancel(stream: u32) -> Vec<u8> {
     encode_frame(CANCEL, stream, &[])
 }
 
-/// The frame that asks whether the scheduler is ready.
+/// Encodes a frame that asks whether the scheduler is ready.
 pub(super) fn encode_readiness_check() -> Vec<u8> {
     let no_fields = [0];
     encode_frame(READINESS_CHECK, READINESS_STREAM, &no_fields)
@@ -93,7 +94,7 @@
     bytes
 }
 
-/// Reads the next frame; none at the end of the connection, also if that is a reset.
+/// Reads the next frame, or returns `None` if the connection has been closed or reset.
 pub(super) async fn read_frame(input: &mut (impl AsyncRead + Unpin)) -> Result<Option<ReceivedFrame>> {
     let Ok(length) = input.read_u32().await else {
         return Ok(None);
@@ -101,7 +102,7 @@
     let length = length as usize;
     ensure!(
         (HEADER_LENGTH..=MAX_LENGTH).contains(&length),
-        "a frame of {length} bytes"
+        "invalid frame length: {length} bytes"
     );
     let mut bytes = vec![0; length];
     if input.read_exact(&mut bytes).await.is_err() {
@@ -110,7 +111,7 @@
     decode_frame(&bytes).map(Some)
 }
 
-/// Decodes a frame without its length, which is at least that of the header.
+/// Decodes a frame whose length field has been removed. `bytes` holds at least the header.
 fn decode_frame(bytes: &[u8]) -> Result<ReceivedFrame> {
     let (header, payload) = bytes.split_at(HEADER_LENGTH);
     let stream = u32::from_be_bytes([header[1], header[2], header[3], header[4]]);
@@ -124,7 +125,7 @@
             is_ready: *code == CODE_SERVED,
         }),
         (GO_AWAY, _) => Ok(ReceivedFrame::GoAway),
-        (frame_type, _) => bail!("a frame of type {frame_type}"),
+        (frame_type, _) => bail!("unexpected or incomplete frame of type {frame_type}"),
     }
 }
 
@@ -136,17 +137,19 @@
     }
 }
 
-/// Skips the fields: their number, then for each the length of its name in one byte, the name, the length of its value in
-/// two bytes, and the value.
+/// Skips the fields of a response and returns its body.
+///
+/// The payload starts with the number of fields in one byte. Each field consists of the length of its name in
+/// one byte, the name, the length of its value in two bytes, and the value.
 fn body_after_fields(payload: &[u8]) -> Result<Vec<u8>> {
     let Some((count, mut rest)) = payload.split_first() else {
-        bail!("a response without fields");
+        bail!("the response has no field count");
     };
     for _ in 0..*count {
         let name_length = usize::from(*rest.first().unwrap_or(&0));
         let after_name = rest.get(1 + name_length..).unwrap_or_default();
         let Some((value_length, after_length)) = after_name.split_first_chunk() else {
-            bail!("a response whose fields are cut short");
+            bail!("the fields of the response are truncated");
         };
         let value_length = usize::from(u16::from_be_bytes(*value_length));
         rest = after_length.get(value_length..).unwrap_or_default();
