--- a/crates/fault-soak/src/environment/discovery/events.rs
+++ b/crates/fault-soak/src/environment/discovery/events.rs
@@ -1,20 +1,20 @@
-//! The events of the endpoint list, as the watch and as the configuration file carry them.
+//! The events of the endpoint list and their encodings, in frames of a watch and in the configuration file.
 
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Frame types.
+// Frame types of a watch.
 const HEARTBEAT: u8 = 0;
 const DELTA: u8 = 2;
-/// Bytes of a frame after its length and before its records.
+/// Number of bytes between a frame's length field and its records.
 const HEADER_LENGTH: u32 = 9;
-/// The fields of an endpoint that are the same for all.
+// Values of the fields that are the same for all endpoints.
 const ZONE: u8 = 0;
 const WORKER_KIND: u8 = 0;
 const CELL: u16 = 0;
 const WEIGHT_PER_MILLE: u32 = 1000;
 
-/// The state of a worker in the endpoint list, with its number on the wire.
+/// The state of a worker in the endpoint list. The discriminants are the values on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerState {
     Ready = 0,
@@ -22,7 +22,7 @@
     Deleted = 2,
 }
 
-/// A change of one endpoint.
+/// A change of one endpoint in the endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointEvent {
     pub(super) id: u32,
@@ -31,7 +31,9 @@
     pub(super) started_at_ms: u64,
 }
 
-/// The frame of an event on a watch.
+/// Encodes an event as a frame of a watch.
+///
+/// Returns no bytes for an IPv6 address, since the wire format has IPv4 addresses only.
 pub(super) fn event_frame(number: u64, event: &EndpointEvent) -> Vec<u8> {
     let SocketAddr::V4(address) = event.address else {
         return Vec::new();
@@ -47,7 +49,7 @@
     frame(number, DELTA, &record)
 }
 
-/// The frame of a heartbeat, which repeats the number of the last event.
+/// Encodes a heartbeat frame. `number` is the number of the last event that was sent.
 pub(super) fn heartbeat_frame(number: u64) -> Vec<u8> {
     frame(number, HEARTBEAT, &[])
 }
@@ -61,7 +63,7 @@
     bytes
 }
 
-/// All events, as a configuration file holds them.
+/// Encodes all events for the configuration file.
 pub(super) fn known_events(events: &[EndpointEvent]) -> Value {
     let batch: Vec<Value> = events
         .iter()
--- a/crates/fault-soak/src/environment/discovery/mod.rs
+++ b/crates/fault-soak/src/environment/discovery/mod.rs
@@ -1,5 +1,6 @@
-//! A stand-in discovery service: it keeps the events of the endpoint list and serves watches of it. Each scheduler has two
-//! addresses of its own for the service, of which one is active.
+//! A stand-in discovery service, which stores the events of the endpoint list and serves watches of it.
+//!
+//! The service listens on two addresses per scheduler, of which one is active at a time.
 
 mod events;
 mod watch;
@@ -17,33 +18,34 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 
-/// Addresses of the service for one scheduler.
+/// Number of addresses of the service for each scheduler.
 const ADDRESSES_PER_SCHEDULER: usize = 2;
 
-/// The discovery service.
+/// The discovery service and the events that it has published.
 #[derive(Debug)]
 pub(crate) struct Discovery {
     pub(crate) switches: DiscoverySwitches,
-    /// The addresses for each scheduler: from the address the service knows whose watch it serves.
+    /// The addresses by scheduler index. They are separate so that the address of a connection identifies the
+    /// scheduler.
     addresses: Vec<[SocketAddr; ADDRESSES_PER_SCHEDULER]>,
-    /// Watches of each scheduler, at either address.
+    /// The number of open watches by scheduler index, over both addresses.
     watch_counts: Vec<AtomicUsize>,
-    /// Index of the active address.
+    /// The index of the active address, the same for all schedulers.
     active_address: AtomicUsize,
-    /// The event at index n has the number n + 1.
+    /// All published events. The event at index `n` has the number `n + 1`.
     events: Mutex<Vec<EndpointEvent>>,
 }
 
-/// One address of the service.
+/// Identifies one address of the service.
 #[derive(Clone, Copy, Debug)]
 struct AddressId {
     scheduler: usize,
-    /// Index among the scheduler's addresses.
+    /// The index among the scheduler's addresses.
     index: usize,
 }
 
 impl Discovery {
-    /// Listens at all addresses until the runtime ends.
+    /// Starts the service, which listens on all addresses until the runtime shuts down.
     pub(super) async fn listen(schedulers: usize) -> io::Result<Arc<Discovery>> {
         let mut listeners: Vec<(AddressId, TcpListener)> = Vec::new();
         let mut addresses = Vec::new();
@@ -70,25 +72,25 @@
         Ok(discovery)
     }
 
-    /// The address that is active for a scheduler.
+    /// Returns the active address of a scheduler.
     pub(super) fn address(&self, scheduler: usize) -> SocketAddr {
         self.addresses[scheduler][self.active_address.load(Ordering::Relaxed)]
     }
 
-    /// Whether a scheduler watches the endpoint list.
+    /// Returns whether a scheduler has an open watch of the endpoint list.
     pub(super) fn is_watched_by(&self, scheduler: usize) -> bool {
         self.watch_counts[scheduler].load(Ordering::Relaxed) > 0
     }
 
-    /// Makes the other address the active one.
+    /// Makes the other address of every scheduler the active one.
     pub(crate) fn switch_address(&self) {
         self.active_address.fetch_xor(1, Ordering::Relaxed);
     }
 
-    /// Publishes the state of a worker's process.
+    /// Publishes a new state of a worker's process.
     pub(crate) fn publish(&self, id: u32, address: SocketAddr, state: WorkerState) {
         let mut events = self.events();
-        // A process without an earlier event has been up for long.
+        // 0 stands for a process that started long ago.
         let earlier_event = events.iter().rev().find(|event| event.id == id);
         let started_at_ms = earlier_event.map_or(0, |event| event.started_at_ms);
         events.push(EndpointEvent {
@@ -99,7 +101,7 @@
         });
     }
 
-    /// Publishes a worker's process that has started now and is ready.
+    /// Publishes a worker's process as ready and started just now.
     pub(crate) fn publish_started(&self, id: u32, address: SocketAddr) {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.events().push(EndpointEvent {
@@ -110,7 +112,7 @@
         });
     }
 
-    /// All events so far, in the form of a configuration file.
+    /// Returns all events so far, encoded for the configuration file.
     pub(super) fn known_events(&self) -> Value {
         events::known_events(&self.events())
     }
--- a/crates/fault-soak/src/environment/discovery/watch.rs
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch of the endpoint list.
+//! The connection of a scheduler that watches the endpoint list.
 
 use super::{AddressId, Discovery, events};
 use std::io;
@@ -9,31 +9,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A watch without an event gets a heartbeat this often.
+/// The interval between heartbeats on a watch without new events.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a watch looks for new events and at the switches.
+/// How often a watch polls for new events and checks the fault switches.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Shortest pause between two looks, if the scheduler sends something.
+/// Minimum interval between two polls. Data from the scheduler ends the wait for the next poll early.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How long the watches at the former address stay open after the switch to the other.
+/// How long watches at the former address stay open after the service has switched to the other address.
 const FORMER_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Serves a connection, or closes it at once where the service is down or has moved.
+/// Serves a connection, or closes it at once if the service is down or the address is not the active one.
 pub(super) async fn serve(discovery: Arc<Discovery>, address: AddressId, stream: TcpStream) {
     if !discovery.is_active(address) || discovery.switches.down.is_on() {
         return;
     }
     let watch_count = &discovery.watch_counts[address.scheduler];
     watch_count.fetch_add(1, Ordering::Relaxed);
-    // The watch ends with an error when its scheduler closes it.
+    // An error only means that the scheduler has closed the connection.
     let _ = serve_watch(&discovery, address, stream).await;
     watch_count.fetch_sub(1, Ordering::Relaxed);
 }
 
-/// Sends events and heartbeats until a fault, a switch of the address or the scheduler ends the watch.
+/// Sends events and heartbeats until a fault, a switch to the other address, or the scheduler ends the watch.
 async fn serve_watch(discovery: &Discovery, address: AddressId, mut stream: TcpStream) -> io::Result<()> {
     let mut last_event = stream.read_u64().await?;
-    // A new watch without events gets a heartbeat at once.
+    // A new watch that has no events to send starts with a heartbeat.
     let mut time_without_event = HEARTBEAT_INTERVAL;
     let mut time_at_former_address = Duration::ZERO;
     while !discovery.switches.down.is_on() && time_at_former_address < FORMER_ADDRESS_CLOSE_DELAY {
@@ -58,7 +58,9 @@
     Ok(())
 }
 
-/// Waits for the next look. Fails if the scheduler has closed the watch.
+/// Waits for the next poll.
+///
+/// Returns an error if the scheduler has closed the watch.
 async fn wait_for_next_poll(stream: &mut TcpStream) -> io::Result<()> {
     match timeout(POLL_INTERVAL, stream.read(&mut [0])).await {
         Ok(Ok(0)) => return Err(io::ErrorKind::UnexpectedEof.into()),
