--- a/crates/fault-soak/src/environment/worker/mod.rs
+++ b/crates/fault-soak/src/environment/worker/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-in workers: node agents that execute requests, correctly or with the faults that their switches activate.
+//! Stand-in workers: node agents that simulate the execution of requests, with the faults that their switches
+//! activate.
 
 mod protocol;
 
@@ -19,20 +20,20 @@
 use tokio::sync::Mutex;
 use tokio::time::sleep;
 
-/// How long a request executes, in milliseconds.
+/// Range of the execution time of a request, in milliseconds.
 const EXECUTION_TIMES_MS: RangeInclusive<u64> = 5..=60;
-/// How long a function takes to load.
+/// The time that a function takes to load.
 const LOAD_TIME: Duration = Duration::from_millis(30);
-/// How long after a response its duplicate follows.
+/// Delay between a response and its duplicate.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(5);
-/// How long after its end a fault may still delay what is sent.
+/// How long a fault may still delay messages after it has ended.
 const FAULT_SETTLE_TIME: Duration = Duration::from_secs(3);
-/// How many of a hundred requests get an error while the worker responds with errors.
+/// Percentage of requests that get an error response while error responses are on.
 const ERRORS_PERCENT: u8 = 60;
-/// How many of a hundred responses are corrupt or sent twice while the worker does that.
+/// Percentage of responses that are corrupt or sent twice while the respective fault is on.
 const BAD_RESPONSES_PERCENT: u8 = 30;
 
-/// A worker, which listens behind its proxy.
+/// A stand-in worker. Schedulers connect to it through its proxy.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) index: usize,
@@ -40,7 +41,7 @@
     recorder: Arc<Recorder>,
 }
 
-/// The output of one connection, which several requests share.
+/// The write half of a connection, shared by the requests on that connection.
 type Output = Arc<Mutex<OwnedWriteHalf>>;
 
 impl Worker {
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Listens at an address of its own and serves connections until the runtime ends.
+    /// Listens on a free address and serves connections until the runtime shuts down.
     pub(super) async fn listen(self: &Arc<Worker>) -> io::Result<SocketAddr> {
         let (listener, address) = listener::bind().await?;
         let worker = Arc::clone(self);
@@ -60,12 +61,12 @@
         Ok(address)
     }
 
-    /// Whether its process has exited and was not replaced yet.
+    /// Returns whether the worker's process has exited and has not been replaced yet.
     pub(super) fn is_down(&self) -> bool {
         self.switches.process_is_down.load(Ordering::Relaxed)
     }
 
-    /// Whether its process rejects what is new.
+    /// Returns whether the worker's process rejects new work.
     fn is_draining(&self) -> bool {
         self.switches.process_is_draining.load(Ordering::Relaxed)
     }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether nothing between a scheduler and this worker delays what is sent.
+    /// Returns whether no fault delays messages between the schedulers and this worker.
     fn is_undelayed(&self) -> bool {
         let now = self.recorder.now();
         let delaying = [
@@ -133,7 +134,7 @@
         });
     }
 
-    /// Sends a response, or what the faults make of it.
+    /// Sends a response, which an active fault may corrupt or duplicate.
     async fn respond(&self, output: &Mutex<OwnedWriteHalf>, response: &Value) {
         let is_bad = fastrand::u8(..100) < BAD_RESPONSES_PERCENT;
         if is_bad && self.switches.corrupt_responses.is_on() {
@@ -149,7 +150,7 @@
     }
 
     fn begin_load(self: Arc<Worker>, id: CorrelationId, replicas: Value, output: Output) {
-        // A query, which asks for no replicas, is no new work.
+        // A load order for no replicas is a query and not new work.
         let is_new_work = replicas.as_u64().is_some_and(|count| count > 0);
         if is_new_work {
             self.recorder.record(Event::LoadOrderReceived {
@@ -170,7 +171,9 @@
     }
 }
 
-/// Writes a message. A failure shows as a closed connection when the next command is read.
+/// Writes a message as one line.
+///
+/// Write errors are ignored, since the read loop of the connection also detects that it is closed.
 async fn write_line(output: &Mutex<OwnedWriteHalf>, message: &Value) {
     let line = format!("{message}\n");
     let _ = output.lock().await.write_all(line.as_bytes()).await;
--- a/crates/fault-soak/src/environment/worker/protocol.rs
+++ b/crates/fault-soak/src/environment/worker/protocol.rs
@@ -1,17 +1,19 @@
-//! The node agents' side of their line protocol, written without the scheduler's own codec so that a fault in that shows.
+//! The node agent side of the line protocol between schedulers and node agents.
+//!
+//! It does not share code with the scheduler's codec, so that a bug in that codec shows up in a run.
 
 use crate::request::RequestId;
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The id of a command, repeated in its response.
+/// The correlation id of a command, which its response repeats.
 pub(super) type CorrelationId = Value;
 
-/// A command of a scheduler.
+/// A command that a scheduler sends.
 #[derive(Debug)]
 pub(super) enum Command {
     Run(RunCommand),
-    /// Load this many replicas of a function; 0 unloads it.
+    /// A load order for a number of replicas of a function, where 0 unloads the function.
     Load {
         id: CorrelationId,
         replicas: Value,
@@ -23,7 +25,7 @@
     Other,
 }
 
-/// An attempt of a request.
+/// A command to execute an attempt of a request.
 #[derive(Debug)]
 pub(super) struct RunCommand {
     pub(super) request: RequestId,
@@ -38,16 +40,19 @@
     Ok,
     /// The function is not loaded.
     NotLoaded,
-    /// No capacity.
+    /// The worker has no free capacity.
     AtCapacity,
-    /// The execution has failed.
+    /// The execution failed.
     Failed,
-    /// The time limit has passed before the execution.
+    /// The time limit passed before the execution started.
     Expired,
 }
 
 impl Command {
-    /// Parses a line. What is no JSON is an error; what is not understood is [`Command::Other`].
+    /// Parses a command line.
+    ///
+    /// Returns an error if the line is not valid JSON, and [`Command::Other`] for an unknown or incomplete
+    /// command.
     pub(super) fn parse(line: &str) -> serde_json::Result<Command> {
         let command: Value = serde_json::from_str(line)?;
         let id = command["rid"].clone();
@@ -77,7 +82,7 @@
 }
 
 impl Status {
-    /// A status other than `Ok`.
+    /// Returns a random status other than `Ok`.
     pub(super) fn random_error() -> Status {
         let errors = [
             Status::NotLoaded,
@@ -88,7 +93,7 @@
         errors[fastrand::usize(..errors.len())]
     }
 
-    /// Whether the request may have had an effect.
+    /// Returns whether the request may have had an effect.
     pub(super) fn is_executed(self) -> bool {
         matches!(self, Status::Ok | Status::Failed)
     }
@@ -104,7 +109,7 @@
     }
 }
 
-/// The response to an attempt: a successful one returns the content.
+/// Returns the response to an attempt. A successful response repeats the content of the command.
 pub(super) fn run_response(run: &RunCommand, status: Status) -> Value {
     let mut response = json!({"verb": status.verb(), "rid": run.id});
     if status == Status::Ok {
@@ -113,22 +118,22 @@
     response
 }
 
-/// The response to a load order.
+/// Returns the response to a load order.
 pub(super) fn load_response(id: &CorrelationId, replicas: &Value) -> Value {
     json!({"verb": "200", "rid": id, "attrs": {"replicas": replicas}})
 }
 
-/// The response of a draining worker to a load order.
+/// Returns the response of a draining worker to a load order.
 pub(super) fn load_rejection(id: &CorrelationId) -> Value {
     json!({"verb": Status::AtCapacity.verb(), "rid": id, "attrs": {"replicas": 0}})
 }
 
-/// The response to a health check.
+/// Returns the response to a health check.
 pub(super) fn health_check_response(id: &CorrelationId) -> Value {
     json!({"verb": "alive", "rid": id})
 }
 
-/// A line that is not JSON, not UTF-8, or has no id.
+/// Returns a random line that is not valid JSON, is not valid UTF-8, or has no correlation id.
 pub(super) fn random_corrupt_line() -> &'static [u8] {
     let lines: [&[u8]; 3] = [b"{\"verb\":\n", b"\xff\xfe noise\n", b"{\"verb\":\"200\"}\n"];
     lines[fastrand::usize(..lines.len())]
