--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -1,4 +1,4 @@
-//! The sending side of a client's connection.
+//! The sending side of a client connection.
 
 use super::connection_state::ConnectionState;
 use super::{Clients, has_passed, request_body, response_reader};
@@ -13,51 +13,52 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::sleep;
 
-/// Pause between two actions, in milliseconds.
+/// Range of the pause between two actions, in milliseconds.
 const PAUSES_MS: RangeInclusive<u64> = 20..=160;
-/// Timeout of a request, in hundredths of the longest deadline.
+/// Range of the timeout of a request, as a percentage of the longest deadline.
 const TIMEOUTS_PERCENT: RangeInclusive<u32> = 15..=100;
-/// How many of a hundred connections ignore GOAWAY.
+/// Percentage of connections that ignore GOAWAY even without a fault.
 const IGNORES_GO_AWAY_PERCENT: u8 = 40;
-/// Functions that are called.
+/// Range of the ids of the functions that requests call.
 const FUNCTIONS: RangeInclusive<u64> = 1..=24;
-/// Requests on a connection before it is closed.
+/// Range of the number of requests on a connection before it is closed.
 const REQUESTS_PER_CONNECTION: RangeInclusive<u32> = 10..=80;
-/// Requests in flight on a connection at most.
+/// Maximum number of requests in flight on a connection.
 const MAX_IN_FLIGHT: usize = 24;
-/// How many of a thousand actions cancel a request or abort the connection: normally, and during the fault.
+/// Actions per thousand that cancel a request or abort the connection, while `abandon_requests` is off.
 const ABANDONS_PER_MILLE: u16 = 10;
+/// Actions per thousand that cancel a request or abort the connection, while `abandon_requests` is on.
 const FAULTY_ABANDONS_PER_MILLE: u16 = 300;
-/// How many of a thousand actions send a malformed frame during the fault.
+/// Actions per thousand that send a malformed frame, while `malformed_frames` is on.
 const MALFORMED_FRAMES_PER_MILLE: u16 = 150;
-/// How long responses are awaited after the last request: longer than any request's timeout.
+/// How long a client waits for responses after its last request. It is longer than any request's timeout.
 const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(4_500);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A connection as its client sees it.
+/// A client's connection to a scheduler, with its write half.
 pub(super) struct ClientConnection {
     state: Arc<ConnectionState>,
     incarnation: Incarnation,
     output: OwnedWriteHalf,
     next_stream: u32,
     requests_left: u32,
-    /// It goes on sending after a GOAWAY, until the connection ends.
+    /// Whether the client keeps sending requests after a GOAWAY, until the connection is closed.
     always_ignores_go_away: bool,
 }
 
-/// What a client does next on a connection.
+/// The next action of a client on a connection.
 enum Action {
     SendRequest,
     CancelRequest,
-    /// Close it with requests in flight.
+    /// Close the connection with requests in flight.
     Abort,
     SendMalformedFrame,
-    /// Close it once all requests have their responses.
+    /// Close the connection after all requests have received their responses.
     Close,
 }
 
 impl ClientConnection {
-    /// Takes over a connection, and starts to read from it.
+    /// Takes over a connection and starts a task that reads from it.
     pub(super) fn start(
         clients: &Arc<Clients>,
         incarnation: Incarnation,
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Acts until the connection is closed, `ends_at` has come or the clients are stopped.
+    /// Performs random actions until the connection is closed, `ends_at` has passed or the clients are
+    /// stopped.
     pub(super) async fn run(mut self, ends_at: Option<Instant>) {
         while !self.state.is_closed() && !self.state.clients.is_stopped() && !has_passed(ends_at) {
             match self.choose_action() {
@@ -146,7 +148,7 @@
         };
         self.state.add_in_flight(stream, request);
         if self.output.write_all(&frame.encode()).await.is_err() {
-            // The scheduler has not received the whole request, so that no response is due.
+            // The scheduler has not received the complete request and does not have to respond.
             self.state.remove_in_flight(stream);
             return;
         }
@@ -169,7 +171,9 @@
         }
     }
 
-    /// Closes the connection with requests in flight.
+    /// Closes the connection and records its requests in flight as cancelled.
+    ///
+    /// Records none if the connection was closed before.
     fn abort(self) {
         let abandoned = self.state.take_in_flight();
         let was_closed_before = self.state.close();
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Closes the connection once every response has come or is overdue.
+    /// Closes the connection after every response has been received or is overdue.
     async fn close(self) {
         let mut waited = Duration::ZERO;
         while self.state.in_flight_count() > 0 && !self.state.is_closed() && waited < LAST_RESPONSES_TIMEOUT {
@@ -192,7 +196,7 @@
     }
 }
 
-/// Half of the requests are idempotent.
+/// Returns a random request class. Half of the requests are idempotent.
 fn random_class() -> RequestClass {
     match fastrand::u8(..4) {
         0 => RequestClass::IdempotencyKey,
--- a/crates/fault-soak/src/environment/client/connection_state.rs
+++ b/crates/fault-soak/src/environment/client/connection_state.rs
@@ -1,4 +1,4 @@
-//! The state of a client's connection that its sender and its reader share.
+//! The state that the sender and the reader of a client connection share.
 
 use super::Clients;
 use crate::environment::switches::ClientSwitches;
@@ -8,15 +8,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What the sender and the reader of a connection share.
+/// The shared state of the sender and the reader of a client connection.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     pub(super) clients: Arc<Clients>,
     pub(super) id: ConnectionId,
-    /// The requests that have no response yet, by stream.
+    /// The requests without a response, by stream id.
     in_flight: Mutex<HashMap<u32, RequestId>>,
     has_received_go_away: AtomicBool,
-    /// Either side has closed the connection.
+    /// Whether either side has closed the connection.
     is_closed: AtomicBool,
 }
 
@@ -51,14 +51,14 @@
         self.in_flight().remove(&stream)
     }
 
-    /// Removes one request, whichever it is.
+    /// Removes an arbitrary request and returns it with its stream id.
     pub(super) fn remove_any_in_flight(&self) -> Option<(u32, RequestId)> {
         let mut in_flight = self.in_flight();
         let stream = in_flight.keys().next().copied()?;
         Some((stream, in_flight.remove(&stream)?))
     }
 
-    /// Removes all requests.
+    /// Removes and returns all requests.
     pub(super) fn take_in_flight(&self) -> Vec<RequestId> {
         std::mem::take(&mut *self.in_flight()).into_values().collect()
     }
@@ -81,7 +81,7 @@
         self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Marks the connection as closed, and returns whether it was closed before.
+    /// Marks the connection as closed and returns whether it was already closed.
     pub(super) fn close(&self) -> bool {
         self.is_closed.swap(true, Ordering::Relaxed)
     }
--- a/crates/fault-soak/src/environment/client/mod.rs
+++ b/crates/fault-soak/src/environment/client/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: they send requests and read the responses, and misbehave as far as their switches say.
+//! Stand-in clients, which send requests and read responses, with the faults that their switches activate.
 
 mod connection;
 mod connection_state;
@@ -15,19 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Pause before the next connection, if a scheduler accepts none.
+/// Delay before the next attempt to connect if a scheduler is not reachable or not in rotation.
 const RECONNECT_DELAY: Duration = Duration::from_millis(30);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many of a hundred requests have a large body.
+/// Percentage of requests that have a large body.
 const LARGE_BODIES_PERCENT: u64 = 5;
 const LARGE_BODY_BYTES: usize = 16 << 10;
 
-/// What all clients of a run share.
+/// The shared state of all clients of a run.
 #[derive(Debug)]
 pub(crate) struct Clients {
     pub(crate) switches: ClientSwitches,
     recorder: Arc<Recorder>,
-    /// No request waits longer.
+    /// The upper bound of the timeouts of requests.
     longest_deadline: Duration,
     next_request: AtomicU64,
     next_connection: AtomicU64,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Has all clients send no further request.
+    /// Tells all clients to send no further requests.
     pub(super) fn stop(&self) {
         self.is_stopped.store(true, Ordering::Relaxed);
     }
@@ -64,7 +64,8 @@
     }
 }
 
-/// Sends requests to a scheduler, on one connection after another, until `ends_at` or until the clients are stopped.
+/// Sends requests to a scheduler, on one connection at a time, until `ends_at` has passed or the clients are
+/// stopped.
 pub(super) async fn run(clients: Arc<Clients>, scheduler: Arc<Scheduler>, ends_at: Option<Instant>) {
     while !clients.is_stopped() && !has_passed(ends_at) {
         let Some(incarnation) = scheduler.incarnation_in_rotation() else {
@@ -82,13 +83,14 @@
     }
 }
 
-/// Whether a time has come, if there is one.
+/// Returns whether `time` has passed, which is never the case for `None`.
 fn has_passed(time: Option<Instant>) -> bool {
     time.is_some_and(|time| time <= Instant::now())
 }
 
-/// The body of a request, which no other request has. It depends on the id alone, so that the reader of the response knows
-/// it too.
+/// Returns the body of a request, which is different for each request.
+///
+/// It depends only on the request id, so that the reader of the response can compute the expected body.
 fn request_body(request: RequestId) -> Vec<u8> {
     let mut body = request.0.to_be_bytes().to_vec();
     let hash = request.0.wrapping_mul(0x9e37_79b9) >> 8;
--- a/crates/fault-soak/src/environment/client/response_reader.rs
+++ b/crates/fault-soak/src/environment/client/response_reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of a client's connection.
+//! The reading side of a client connection.
 
 use super::connection_state::ConnectionState;
 use super::request_body;
@@ -11,12 +11,12 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::time::sleep;
 
-/// How often the reader looks whether its client has closed the connection.
+/// How often the reader checks whether its client has closed the connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Reads frames until either side closes the connection.
 pub(super) async fn run(state: Arc<ConnectionState>, mut input: OwnedReadHalf) {
-    // Kept, so that a second response is recognised.
+    // Requests that have a response, by stream id, so that a duplicate response is detected.
     let mut answered: HashMap<u32, RequestId> = HashMap::new();
     loop {
         let frame = tokio::select! {
