--- a/crates/fault-soak/src/environment/scheduler/lifecycle.rs
+++ b/crates/fault-soak/src/environment/scheduler/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, readiness and end of a scheduler's process.
+//! Start, readiness and termination of a scheduler's process.
 
 use super::Scheduler;
 use super::process::SchedulerProcess;
@@ -16,13 +16,13 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// A process has to be ready within this time (page STANDING has 10 s for nine in ten).
+/// How long a process may take to become ready. Page STANDING requires 10 s for nine of ten processes.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READINESS_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Scheduler {
-    /// Starts a process, and puts the scheduler into rotation once it is ready.
+    /// Starts a process and puts the scheduler into rotation once the process is ready.
     pub(crate) async fn start(self: &Arc<Scheduler>) -> Result<()> {
         let mut child = self.spawn()?;
         let incarnation = self.next_incarnation();
@@ -50,7 +50,7 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{}", self.launch.program.display()))
+            .with_context(|| format!("cannot start {}", self.launch.program.display()))
     }
 
     fn next_incarnation(&self) -> Incarnation {
@@ -98,8 +98,10 @@
         self.record_for(process.incarnation, event);
     }
 
-    /// Sends SIGTERM, and waits for the exit. The scheduler leaves the rotation after `rotation_delay`: a load balancer
-    /// learns of the termination late.
+    /// Sends SIGTERM and waits for the exit. Kills the process if it is still running after the termination
+    /// timeout.
+    ///
+    /// The scheduler stays in rotation for `rotation_delay`, as a load balancer notices the termination late.
     pub(crate) async fn terminate(&self, rotation_delay: Duration) {
         let Some(process) = self.process() else {
             return;
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Sends SIGKILL, and waits for the exit.
+    /// Sends SIGKILL and waits for the exit.
     pub(crate) async fn kill(&self) {
         let Some(process) = self.process() else {
             return;
@@ -136,7 +138,7 @@
     }
 }
 
-/// Whether a scheduler responds to a readiness check that it is ready.
+/// Returns whether a scheduler reports in a readiness check that it is ready.
 async fn reports_readiness(address: SocketAddr) -> bool {
     let check = async {
         let mut stream = TcpStream::connect(address).await?;
--- a/crates/fault-soak/src/environment/scheduler/log_reader.rs
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of a scheduler's log: it keeps the last lines and recognises the reports of violations and panics.
+//! Reads a scheduler's log, keeps its last lines, and detects reports of violations and panics.
 
 use super::Scheduler;
 use crate::recorder::{HealthProblem, Incarnation, ProcessEvent};
@@ -7,19 +7,19 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::ChildStderr;
 
-/// Lines that are kept.
+/// Maximum number of lines in a [`LogTail`].
 pub(super) const MAX_LINES: usize = 400;
-/// How the log reports that an invariant is violated, or that the code has panicked.
+/// Substrings of log lines that report a violated invariant or a panic.
 const VIOLATION_MARKERS: [&str; 2] = ["violation kind=", "panic "];
 
-/// The last lines of a log, each with the time at which it was read.
+/// The last lines of a scheduler's log.
 #[derive(Debug, Default)]
 pub(super) struct LogTail {
     lines: Mutex<VecDeque<String>>,
 }
 
 impl LogTail {
-    /// Appends a line, and drops the first one if there are too many.
+    /// Appends a line, and drops the oldest one if there are already [`MAX_LINES`].
     pub(super) fn push(&self, line: String) {
         let mut lines = self.lock();
         if lines.len() >= MAX_LINES {
@@ -28,7 +28,7 @@
         lines.push_back(line);
     }
 
-    /// The lines, in order.
+    /// Returns the lines, oldest first.
     pub(super) fn lines(&self) -> Vec<String> {
         self.lock().iter().cloned().collect()
     }
@@ -39,7 +39,9 @@
 }
 
 impl Scheduler {
-    /// Reads the log of a process to its end.
+    /// Reads the log of a process to its end, with a pause while the log stall fault is on.
+    ///
+    /// Each kept line is prefixed with the time at which it was read, in seconds since the start of the run.
     pub(super) async fn read_log(self: Arc<Scheduler>, incarnation: Incarnation, log: ChildStderr) {
         let mut lines = BufReader::new(log).lines();
         while let Ok(Some(line)) = lines.next_line().await {
@@ -55,7 +57,7 @@
     }
 }
 
-/// Whether a line of a log reports a violation or a panic.
+/// Returns whether a log line reports a violation or a panic.
 pub(super) fn reports_violation(line: &str) -> bool {
     VIOLATION_MARKERS.iter().any(|marker| line.contains(marker))
 }
--- a/crates/fault-soak/src/environment/scheduler/mod.rs
+++ b/crates/fault-soak/src/environment/scheduler/mod.rs
@@ -1,4 +1,4 @@
-//! A scheduler under test: its address, its files, and its current process, which has the shim preloaded.
+//! A scheduler under test: its address, its files, and its current process, which preloads the shim.
 
 mod lifecycle;
 mod log_reader;
@@ -23,45 +23,45 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// Files of a scheduler in its folder.
+// Names of the files in a scheduler's folder.
 const CONFIG_FILE: &str = "config.json";
 const CONTROL_FILE: &str = "control";
 
-/// How schedulers are started.
+/// Options for starting schedulers.
 #[derive(Clone, Debug)]
 pub(crate) struct LaunchOptions {
-    /// The scheduler's program.
+    /// The path of the scheduler's executable.
     pub(crate) program: PathBuf,
-    /// The library that it preloads.
+    /// The path of the shim library, which is preloaded into the scheduler.
     pub(crate) shim: PathBuf,
     pub(crate) log_level: String,
 }
 
-/// A scheduler, of which at most one process runs at a time.
+/// A scheduler under test, which has at most one running process at a time.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
     pub(crate) index: usize,
     pub(crate) address: SocketAddr,
-    /// Held by whoever ends the process and starts the next.
+    /// Locked by a fault while it ends the process and starts the next one.
     pub(crate) lifecycle: tokio::sync::Mutex<()>,
     pub(crate) log_stall: FaultSwitch,
-    /// Whether new clients connect here, as behind a load balancer.
+    /// Whether new clients connect to this scheduler, as a load balancer would direct them.
     is_in_rotation: AtomicBool,
-    /// The configuration has been replaced, and no process has been sent SIGHUP for it yet.
+    /// Whether the configuration file has been replaced but no process has been sent SIGHUP for it yet.
     reload_is_due: AtomicBool,
-    /// The current process, or the last; none before the first start.
+    /// The current process or, if that has exited, the last one. `None` before the first start.
     process: Mutex<Option<Arc<SchedulerProcess>>>,
     folder: TempDir,
     control_file: File,
     log_tail: LogTail,
     launch: LaunchOptions,
-    /// How long after SIGTERM a process is killed.
+    /// How long after SIGTERM a process that is still running is killed.
     termination_timeout: Duration,
     recorder: Arc<Recorder>,
 }
 
 impl Scheduler {
-    /// A scheduler that has not been started.
+    /// Creates a scheduler, with its folder and control file, but does not start it.
     pub(super) fn new(
         index: usize,
         address: SocketAddr,
@@ -96,7 +96,7 @@
         Ok(scheduler)
     }
 
-    /// Writes a number for the shim.
+    /// Writes a value to a slot of the control file, which the shim reads.
     pub(crate) fn set_control(&self, slot: Slot, value: i64) -> Result<()> {
         let bytes = value.to_ne_bytes();
         Ok(self.control_file.write_all_at(&bytes, slot.byte_offset())?)
@@ -115,12 +115,12 @@
         self.folder.path().join(CONTROL_FILE)
     }
 
-    /// The last lines of its log, of all processes.
+    /// Returns the last log lines of the scheduler's processes.
     pub(crate) fn log_tail(&self) -> Vec<String> {
         self.log_tail.lines()
     }
 
-    /// The incarnation that new clients connect to, if the scheduler is in rotation.
+    /// Returns the incarnation that new clients connect to, or `None` if the scheduler is not in rotation.
     pub(super) fn incarnation_in_rotation(&self) -> Option<Incarnation> {
         if !self.is_in_rotation.load(Ordering::Relaxed) {
             return None;
@@ -140,35 +140,36 @@
         process.clone()
     }
 
-    /// Whether its process runs.
+    /// Returns whether the scheduler's process is running.
     pub(super) fn is_running(&self) -> bool {
         self.process().is_some_and(|process| process.is_running())
     }
 
-    /// Whether its process runs and has reported readiness.
+    /// Returns whether the scheduler's process is running and has reported readiness.
     pub(crate) fn is_ready(&self) -> bool {
         self.process().is_some_and(|process| process.is_ready())
     }
 
-    /// Sends a signal to its process, if that runs.
+    /// Sends a signal to the scheduler's process if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Some(process) = self.process() {
             process.signal(signal);
         }
     }
 
-    /// The descriptors that its process holds.
+    /// Returns the number of file descriptors that the scheduler's process holds.
     pub(super) fn descriptor_count(&self) -> usize {
         self.process().map_or(0, |process| process.count_entries("fd"))
     }
 
-    /// The threads of its process.
+    /// Returns the number of threads of the scheduler's process.
     pub(super) fn thread_count(&self) -> usize {
         self.process().map_or(0, |process| process.count_entries("task"))
     }
 
-    /// Sends SIGHUP for a configuration that has been replaced: at once, or as soon as the process is ready. Before that
-    /// it may not handle signals yet, and it may have read the configuration of before.
+    /// Sends SIGHUP for a replaced configuration file, immediately or as soon as the process is ready.
+    ///
+    /// A process that is not ready may not handle signals yet, and may have read the previous configuration.
     pub(crate) fn request_reload(&self) {
         self.reload_is_due.store(true, Ordering::SeqCst);
         self.reload_if_due();
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Records an event of its current process.
+    /// Records an event of the scheduler's current process.
     pub(super) fn record(&self, event: ProcessEvent) {
         if let Some(process) = self.process() {
             self.record_for(process.incarnation, event);
--- a/crates/fault-soak/src/environment/scheduler/process.rs
+++ b/crates/fault-soak/src/environment/scheduler/process.rs
@@ -1,4 +1,4 @@
-//! One process of a scheduler.
+//! A process of a scheduler under test.
 
 use crate::recorder::Incarnation;
 use nix::sys::signal::{Signal, kill};
@@ -6,13 +6,13 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// One process of a scheduler, and its state.
+/// A process of a scheduler and its state.
 #[derive(Debug)]
 pub(super) struct SchedulerProcess {
     pub(super) incarnation: Incarnation,
     pid: Pid,
     is_ready: AtomicBool,
-    /// It was terminated or killed by this program.
+    /// Whether this program has terminated or killed the process.
     exit_was_requested: AtomicBool,
     has_exited: AtomicBool,
 }
@@ -36,7 +36,7 @@
         self.has_exited.store(true, Ordering::Relaxed);
     }
 
-    /// Whether it runs and has reported readiness.
+    /// Returns whether the process is running and has reported readiness.
     pub(super) fn is_ready(&self) -> bool {
         self.is_running() && self.is_ready.load(Ordering::Relaxed)
     }
@@ -53,14 +53,16 @@
         self.exit_was_requested.store(true, Ordering::Relaxed);
     }
 
-    /// Sends a signal, unless the process has exited and its id may be another's.
+    /// Sends a signal to the process.
+    ///
+    /// Does nothing after the process has exited, since its id may then belong to another process.
     pub(super) fn signal(&self, signal: Signal) {
         if self.is_running() {
             let _ = kill(self.pid, signal);
         }
     }
 
-    /// The entries of one of its folders below `/proc`.
+    /// Returns the number of entries in a subfolder of the process's folder in `/proc`, or 0 on an error.
     pub(super) fn count_entries(&self, folder: &str) -> usize {
         let path = Path::new("/proc").join(self.pid.to_string()).join(folder);
         std::fs::read_dir(path).map_or(0, Iterator::count)
--- a/crates/fault-soak/src/environment/scheduler/tests.rs
+++ b/crates/fault-soak/src/environment/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reader of a scheduler's log.
+//! Tests of the log reader.
 
 use super::log_reader::{LogTail, MAX_LINES, reports_violation};
 
