--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,55 +1,56 @@
-//! The shared file by which `fault-soak` tells `fault-shim`, inside a process, which faults to inject.
+//! The layout of the control file, through which `fault-soak` tells `fault-shim` which faults to inject.
 //!
-//! The file is a sequence of [`SLOTS`] signed 64-bit numbers in the machine's byte order. The shim maps the file and
-//! reads a slot whenever the process makes a call; `fault-soak` writes slots while the process runs.
+//! The file is an array of [`SLOTS`] signed 64-bit integers in native byte order. The shim, which is loaded into the
+//! process under test, maps the file and reads slots on each intercepted call; `fault-soak` writes slots while the
+//! process runs.
 
-/// The environment variable that names the file.
+/// The environment variable that holds the path of the control file.
 pub const CONTROL_VARIABLE: &str = "FAULT_CONTROL";
-/// Slots in the file.
+/// The number of slots in the control file.
 pub const SLOTS: usize = 64;
-/// Length of the file in bytes.
+/// The length of the control file in bytes.
 pub const FILE_BYTES: usize = SLOTS * SLOT_BYTES;
-/// Length of a slot in bytes.
+/// The length of a slot in bytes.
 const SLOT_BYTES: usize = size_of::<i64>();
-/// The first slot of the system calls that fail.
+/// The index of the first slot that belongs to a system call.
 const FIRST_CALL_SLOT: usize = 8;
-/// Each system call has a slot for its error and one for its failure rate.
+/// The number of slots of a system call: one for its error and one for its failure rate.
 const SLOTS_PER_CALL: usize = 2;
 
-/// The place of one number in the file.
+/// The position of one integer in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slot(usize);
 
 impl Slot {
-    /// Nanoseconds that are added to the wall clock.
+    /// The offset that is added to the wall clock, in nanoseconds.
     pub const WALL_CLOCK_OFFSET: Slot = Slot(0);
-    /// How many of a thousand reads and writes of TCP sockets are short.
+    /// The rate of short reads and writes on TCP sockets, per thousand.
     pub const SHORT_IO_RATE: Slot = Slot(1);
-    /// Seed of the shim's random choices.
+    /// The seed of the shim's random number generator.
     pub const RANDOM_SEED: Slot = Slot(2);
 
-    /// The error number that a system call fails with; 0 for none.
+    /// Returns the slot of the error number (`errno`) that a system call fails with. A value of 0 injects no failure.
     pub const fn error_of(call: SystemCall) -> Slot {
         Slot(FIRST_CALL_SLOT + SLOTS_PER_CALL * call as usize)
     }
 
-    /// How many of a thousand system calls of this kind fail.
+    /// Returns the slot of the failure rate of a system call, per thousand.
     pub const fn failure_rate_of(call: SystemCall) -> Slot {
         Slot(Slot::error_of(call).0 + 1)
     }
 
-    /// Its index among the slots.
+    /// Returns the index of the slot in the control file.
     pub const fn index(self) -> usize {
         self.0
     }
 
-    /// Its offset in the file in bytes.
+    /// Returns the offset of the slot from the start of the control file, in bytes.
     pub const fn byte_offset(self) -> u64 {
         (self.0 * SLOT_BYTES) as u64
     }
 }
 
-/// A system call that can be made to fail.
+/// A system call in which failures can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
     /// `accept4`
@@ -58,7 +59,7 @@
     Connect,
     /// `socket`
     Socket,
-    /// `epoll_ctl`, where it adds or changes a registration
+    /// `epoll_ctl` that adds or modifies a registration
     EpollControl,
     /// `epoll_wait`
     EpollWait,
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The control file, mapped: which faults to inject now.
+//! Access to the mapped control file, which holds the faults to inject.
 
 use fault_control::{CONTROL_VARIABLE, FILE_BYTES, SLOTS, Slot, SystemCall};
 use libc::c_int;
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// Rates are given per mille.
+/// The rates in the control file are per thousand.
 const RATE_DENOMINATOR: usize = 1000;
 
-/// The mapped control file, with the generator of the shim's random choices.
+/// The mapped control file and the random number generator that decides which calls are affected.
 pub(crate) struct Control {
     slots: &'static [AtomicI64; SLOTS],
     random: Mutex<fastrand::Rng>,
@@ -18,42 +18,46 @@
 
 static CONTROL: OnceLock<Option<Control>> = OnceLock::new();
 
-/// The control file, if the environment names one that can be mapped.
+/// Returns the control file, or `None` if the environment names none or it cannot be mapped.
+///
+/// The first call maps the file.
 pub(crate) fn control() -> Option<&'static Control> {
     CONTROL.get_or_init(map_control_file).as_ref()
 }
 
 impl Control {
-    /// The number in a slot.
+    /// Returns the value of a slot.
     pub(crate) fn read(&self, slot: Slot) -> i64 {
         self.slots[slot.index()].load(Ordering::Relaxed)
     }
 
-    /// The error that this call has to fail with, if it has to fail.
+    /// Returns the error to fail this call with, or `None` if the call is to be made.
     pub(crate) fn injected_error(&self, call: SystemCall) -> Option<c_int> {
         let error = self.read(Slot::error_of(call));
         (error != 0 && self.should_inject(Slot::failure_rate_of(call))).then_some(error as c_int)
     }
 
-    /// Draws whether an event happens whose rate is in a slot.
+    /// Decides at random whether to inject an event whose rate is in the slot `rate`.
     pub(crate) fn should_inject(&self, rate: Slot) -> bool {
         let rate = self.read(rate);
         rate > 0 && (self.random_below(RATE_DENOMINATOR) as i64) < rate
     }
 
-    /// A random number below a bound.
+    /// Returns a random number below `bound`.
     pub(crate) fn random_below(&self, bound: usize) -> usize {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         random.usize(..bound)
     }
 }
 
-/// Maps the file with raw system calls, because the C library's functions lead back to this library.
+/// Maps the control file.
+///
+/// The file is opened with raw system calls, because this library interposes the C library's functions.
 fn map_control_file() -> Option<Control> {
     let path = std::env::var_os(CONTROL_VARIABLE)?;
     let path = CString::new(path.as_bytes()).ok()?;
-    // SAFETY: the path ends with a zero byte; the mapping is as long as the file, lasts as long as the process, and
-    // is only accessed as atomic numbers.
+    // SAFETY: the path ends with a zero byte; the mapping is as long as the file, is never unmapped, and is accessed
+    // only through atomics.
     unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
--- a/crates/fault-shim/src/injection.rs
+++ b/crates/fault-shim/src/injection.rs
@@ -1,10 +1,10 @@
-//! What the interposed functions share: failing a call, and shortening one.
+//! Helpers of the interposed functions, which fail a call or shorten its transfer.
 
 use crate::control::control;
 use fault_control::{Slot, SystemCall};
 use libc::{c_int, c_long, size_t, socklen_t};
 
-/// Fails with the injected error if this call has to fail, else makes the system call.
+/// Fails with the injected error if one is due for this call, and makes the system call otherwise.
 pub(crate) fn fail_or_call(call: SystemCall, make_call: impl FnOnce() -> c_long) -> c_long {
     match injected_error(call) {
         Some(error) => fail(error),
@@ -12,7 +12,7 @@
     }
 }
 
-/// As [`fail_or_call`], but only calls on TCP sockets fail.
+/// Does the same as [`fail_or_call`], but fails only calls on TCP sockets.
 pub(crate) fn fail_or_call_on_tcp(
     call: SystemCall,
     descriptor: c_int,
@@ -24,7 +24,8 @@
     }
 }
 
-/// How many bytes to transfer where the caller wants `length`: fewer if a short read or write is due.
+/// Returns how many of the `length` bytes that the caller asked for to transfer: fewer if a short read or write is
+/// due, but at least one.
 pub(crate) fn transfer_length(descriptor: c_int, length: size_t) -> size_t {
     let Some(control) = control() else {
         return length;
@@ -40,18 +41,20 @@
     control()?.injected_error(call)
 }
 
-/// Sets the calling thread's error number and returns the result of a failed call.
+/// Sets the calling thread's `errno` and returns the result of a failed call.
 fn fail(error: c_int) -> c_long {
-    // SAFETY: the C library gives each thread a valid place for its error number.
+    // SAFETY: the C library returns a valid pointer to the calling thread's `errno`.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Whether a descriptor is a TCP socket over IPv4, as opposed to a pipe between parts of the process.
+/// Returns whether a descriptor is a TCP socket over IPv4, as opposed to a pipe inside the process.
+///
+/// It compares the address family only.
 fn is_tcp(descriptor: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: both pointers are to local variables of the sizes that the call expects.
+    // SAFETY: both pointers are to local variables of the types that the option requires.
     let result = unsafe {
         libc::getsockopt(
             descriptor,
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,10 @@
-//! A library that a process preloads (LD_PRELOAD) so that `fault-soak` can inject faults of the operating system: wall
-//! clock steps, system calls that fail in documented ways, short reads and writes.
+//! A preloaded library (`LD_PRELOAD`) through which `fault-soak` injects operating system faults into a process.
 //!
-//! The process maps a file, described by [`fault_control`], that says what to inject. Without that file every call
-//! passes unchanged. Each function here interposes the C library's function of the same name and makes the system call
-//! itself, so that it needs no lookup of the original.
+//! The faults are steps of the wall clock, system calls that fail with documented errors, and short reads and writes.
+//!
+//! The library maps the control file, whose layout [`fault_control`] defines, to learn which faults to inject. Without
+//! that file every call passes unchanged. Each function here interposes the C library's function of the same name and
+//! makes the system call itself, so that it needs no lookup of the original.
 
 mod control;
 mod injection;
@@ -18,11 +19,11 @@
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Interposes the C library's function: the wall clock is off by the injected offset.
+/// Interposes the C library's `clock_gettime` and adds the injected offset to the wall clock.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller's pointer is passed on.
@@ -31,7 +32,7 @@
         return result;
     }
     let offset = control().map_or(0, |control| control.read(Slot::WALL_CLOCK_OFFSET));
-    // SAFETY: the call has succeeded, so that the pointer is valid.
+    // SAFETY: the call has succeeded, so the pointer is valid.
     let time = unsafe { &mut *time };
     let nanoseconds = time.tv_sec * NANOSECONDS_PER_SECOND + time.tv_nsec + offset;
     time.tv_sec = nanoseconds.div_euclid(NANOSECONDS_PER_SECOND);
@@ -39,11 +40,11 @@
     0
 }
 
-/// Interposes the C library's function.
+/// Interposes the C library's `accept4`, which may fail.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     descriptor: c_int,
@@ -57,11 +58,11 @@
     }) as c_int
 }
 
-/// Interposes the C library's function.
+/// Interposes the C library's `connect`, which may fail.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     fail_or_call(SystemCall::Connect, || {
@@ -70,7 +71,7 @@
     }) as c_int
 }
 
-/// Interposes the C library's function.
+/// Interposes the C library's `socket`, which may fail.
 #[unsafe(no_mangle)]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     fail_or_call(SystemCall::Socket, || {
@@ -79,11 +80,11 @@
     }) as c_int
 }
 
-/// Interposes the C library's function: adding or changing a registration may fail, removing one does not.
+/// Interposes the C library's `epoll_ctl`, which may fail to add or modify a registration but not to remove one.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_ctl(
     epoll: c_int,
@@ -103,11 +104,11 @@
     result as c_int
 }
 
-/// Interposes the C library's function.
+/// Interposes the C library's `epoll_wait`, which may fail.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -121,11 +122,11 @@
     }) as c_int
 }
 
-/// Interposes the C library's function: on TCP sockets it may fail or read less than asked.
+/// Interposes the C library's `recv`, which may fail or read fewer bytes than requested on TCP sockets.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -152,11 +153,11 @@
     }) as ssize_t
 }
 
-/// Interposes the C library's function: on TCP sockets it may fail or write less than asked.
+/// Interposes the C library's `send`, which may fail or write fewer bytes than requested on TCP sockets.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -172,11 +173,11 @@
     }) as ssize_t
 }
 
-/// Interposes the C library's function.
+/// Interposes the C library's `open64`, which may fail.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     fail_or_call(SystemCall::Open, || {
@@ -185,11 +186,11 @@
     }) as c_int
 }
 
-/// Interposes the C library's function: writing to standard error, where the log goes, may fail.
+/// Interposes the C library's `write`, which may fail on standard error, the destination of the log.
 ///
 /// # Safety
 ///
-/// As the C library's.
+/// The caller must meet the requirements of the C library's function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     let make_call = || {
