--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,8 +1,8 @@
 //! The layout of the control file, through which `fault-soak` tells `fault-shim` which faults to inject.
 //!
-//! The file is an array of [`SLOTS`] signed 64-bit integers in native byte order. The shim, which is loaded into the
-//! process under test, maps the file and reads slots on each intercepted call; `fault-soak` writes slots while the
-//! process runs.
+//! The file is an array of [`SLOTS`] signed 64-bit integers in native byte order. The shim, which is loaded
+//! into the process under test, maps the file and reads slots on each intercepted call; `fault-soak` writes
+//! slots while the process runs.
 
 /// The environment variable that holds the path of the control file.
 pub const CONTROL_VARIABLE: &str = "FAULT_CONTROL";
@@ -29,7 +29,8 @@
     /// The seed of the shim's random number generator.
     pub const RANDOM_SEED: Slot = Slot(2);
 
-    /// Returns the slot of the error number (`errno`) that a system call fails with. A value of 0 injects no failure.
+    /// Returns the slot of the error number (`errno`) that a system call fails with. A value of 0 injects no
+    /// failure.
     pub const fn error_of(call: SystemCall) -> Slot {
         Slot(FIRST_CALL_SLOT + SLOTS_PER_CALL * call as usize)
     }
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -56,8 +56,8 @@
 fn map_control_file() -> Option<Control> {
     let path = std::env::var_os(CONTROL_VARIABLE)?;
     let path = CString::new(path.as_bytes()).ok()?;
-    // SAFETY: the path ends with a zero byte; the mapping is as long as the file, is never unmapped, and is accessed
-    // only through atomics.
+    // SAFETY: the path ends with a zero byte; the mapping is as long as the file, is never unmapped, and is
+    // accessed only through atomics.
     unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
--- a/crates/fault-shim/src/injection.rs
+++ b/crates/fault-shim/src/injection.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Returns how many of the `length` bytes that the caller asked for to transfer: fewer if a short read or write is
-/// due, but at least one.
+/// Returns how many of the `length` bytes that the caller asked for to transfer: fewer if a short read or
+/// write is due, but at least one.
 pub(crate) fn transfer_length(descriptor: c_int, length: size_t) -> size_t {
     let Some(control) = control() else {
         return length;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,10 +1,12 @@
-//! A preloaded library (`LD_PRELOAD`) through which `fault-soak` injects operating system faults into a process.
+//! A preloaded library (`LD_PRELOAD`) through which `fault-soak` injects operating system faults into a
+//! process.
 //!
-//! The faults are steps of the wall clock, system calls that fail with documented errors, and short reads and writes.
+//! The faults are steps of the wall clock, system calls that fail with documented errors, and short reads and
+//! writes.
 //!
-//! The library maps the control file, whose layout [`fault_control`] defines, to learn which faults to inject. Without
-//! that file every call passes unchanged. Each function here interposes the C library's function of the same name and
-//! makes the system call itself, so that it needs no lookup of the original.
+//! The library maps the control file, whose layout [`fault_control`] defines, to learn which faults to
+//! inject. Without that file every call passes unchanged. Each function here interposes the C library's
+//! function of the same name and makes the system call itself, so that it needs no lookup of the original.
 
 mod control;
 mod injection;
@@ -80,7 +82,8 @@
     }) as c_int
 }
 
-/// Interposes the C library's `epoll_ctl`, which may fail to add or modify a registration but not to remove one.
+/// Interposes the C library's `epoll_ctl`, which may fail to add or modify a registration but not to remove
+/// one.
 ///
 /// # Safety
 ///
--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -1,4 +1,5 @@
-//! Outages of the discovery service that outlast the time after which a change counts as notified all the same.
+//! Outages of the discovery service that outlast the time after which a change counts as notified all the
+//! same.
 
 use super::schedule::PlannedFault;
 use super::{activate, worker_replacement};
@@ -14,7 +15,8 @@
 /// How long the workers go on draining after the end of the outage.
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
-/// Makes discovery unreachable, closed or silent, and drains two workers meanwhile, which stay up until it is back.
+/// Makes discovery unreachable, closed or silent, and drains two workers meanwhile, which stay up until it is
+/// back.
 pub(super) async fn disconnect_and_drain(environment: &Environment, fault: &PlannedFault) {
     let switches = &environment.discovery.switches;
     let switch = if fault.variant.is_multiple_of(2) {
--- a/crates/fault-soak/src/faults/kind.rs
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -55,7 +55,8 @@
     ClientsIgnoreGoAway,
     /// Opens many client connections that send nothing.
     ClientsIdle,
-    /// Makes discovery unreachable for longer than all clocks for that, and drains workers early and late in it.
+    /// Makes discovery unreachable for longer than all clocks for that, and drains workers early and late in
+    /// it.
     LongDiscoveryOutage,
     /// Sends a scheduler SIGHUP, SIGUSR1 and SIGTERM in a row, some of them again while it shuts down.
     SignalSeries,
@@ -65,8 +66,8 @@
 
 /// How long most faults last, in milliseconds.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=1_500;
-/// How long an outage lasts that is longer than the time after which a change counts as notified (4 s) and the grace
-/// period, in milliseconds.
+/// How long an outage lasts that is longer than the time after which a change counts as notified (4 s) and
+/// the grace period, in milliseconds.
 const LONG_OUTAGE_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
 
 impl FaultKind {
--- a/crates/fault-soak/src/faults/reload.rs
+++ b/crates/fault-soak/src/faults/reload.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Moves the discovery service and has the targeted scheduler reload while its file is truncated. The file is completed
-/// without a further SIGHUP: the scheduler has to find that by itself.
+/// Moves the discovery service and has the targeted scheduler reload while its file is truncated. The file is
+/// completed without a further SIGHUP: the scheduler has to find that by itself.
 pub(super) async fn reload_truncated(
     environment: &Environment,
     target: &Arc<Scheduler>,
--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -56,8 +56,8 @@
     }
 }
 
-/// The faults of a seed that start within `length`, in the order of their starts. They are of the given kinds, or of
-/// all kinds if none is given.
+/// The faults of a seed that start within `length`, in the order of their starts. They are of the given
+/// kinds, or of all kinds if none is given.
 pub(crate) fn schedule(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
     let kinds = if kinds.is_empty() {
         FaultKind::value_variants()
--- a/crates/fault-soak/src/faults/scheduler_process.rs
+++ b/crates/fault-soak/src/faults/scheduler_process.rs
@@ -32,7 +32,8 @@
     restart(environment, scheduler).await;
 }
 
-/// Sends SIGHUP and SIGUSR1, then SIGTERM and the same again while the scheduler shuts down, and starts it again.
+/// Sends SIGHUP and SIGUSR1, then SIGTERM and the same again while the scheduler shuts down, and starts it
+/// again.
 pub(super) async fn send_signal_series(environment: &Environment, scheduler: &Arc<Scheduler>) {
     let Ok(_lifecycle) = scheduler.lifecycle.try_lock() else {
         return;
--- a/crates/fault-soak/src/faults/system_call_failure.rs
+++ b/crates/fault-soak/src/faults/system_call_failure.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// The order is part of the schedules. Accepting and waiting never fail on every call: nobody could be accepted or
-/// served in that time.
+/// The order is part of the schedules. Accepting and waiting never fail on every call: nobody could be
+/// accepted or served in that time.
 const FAILURES: [SystemCallFailure; 17] = [
     failure(SystemCall::Accept, Errno::ECONNABORTED, 900),
     failure(SystemCall::Accept, Errno::ENFILE, 600),
--- a/crates/fault-soak/src/faults/worker_replacement.rs
+++ b/crates/fault-soak/src/faults/worker_replacement.rs
@@ -17,8 +17,8 @@
     Duration::from_millis(fastrand::u64(DRAIN_TIMES_MS))
 }
 
-/// Drains a worker, removes it, and starts another process at its address. Nothing is done if the worker is being
-/// replaced already.
+/// Drains a worker, removes it, and starts another process at its address. Nothing is done if the worker is
+/// being replaced already.
 pub(super) async fn replace(environment: &Environment, listed: &ListedWorker, drain_time: Duration) {
     let Ok(_replacement) = listed.replacement.try_lock() else {
         return;
--- a/crates/fault-soak/src/invariants/draining.rs
+++ b/crates/fault-soak/src/invariants/draining.rs
@@ -7,7 +7,8 @@
 use crate::timer_lag::TimerLag;
 use std::time::Duration;
 
-/// A scheduler counts as notified of a change this long after it, whatever is wrong with discovery (page TERMS).
+/// A scheduler counts as notified of a change this long after it, whatever is wrong with discovery (page
+/// TERMS).
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 
 /// How long a change takes to every scheduler that watches: an outage that begins before that may cut it off.
@@ -35,10 +36,11 @@
     dispatch.is_undelayed && dispatch.at > limit && !was_ready_again
 }
 
-/// When every scheduler counts as notified of a change of the endpoint list, as far as it matters for a dispatch.
+/// When every scheduler counts as notified of a change of the endpoint list, as far as it matters for a
+/// dispatch.
 ///
-/// In an outage the time counts from its beginning, for all that is published in it: a change that is published later
-/// than [`MAX_NOTIFICATION_DELAY`] after the beginning counts as notified at once.
+/// In an outage the time counts from its beginning, for all that is published in it: a change that is
+/// published later than [`MAX_NOTIFICATION_DELAY`] after the beginning counts as notified at once.
 fn notified_at(history: &RunHistory, changed_at: Duration, dispatched_at: Duration) -> Duration {
     let mut outages = history.outages.iter().rev();
     let outage = outages.find(|outage| {
--- a/crates/fault-soak/src/invariants/final_response.rs
+++ b/crates/fault-soak/src/invariants/final_response.rs
@@ -4,11 +4,12 @@
 use super::{Context, Invariant, Violation, response_deadline};
 use std::time::Duration;
 
-/// A request that is sent less than this before the end of its connection may not have been received (page PROTOCOL).
+/// A request that is sent less than this before the end of its connection may not have been received (page
+/// PROTOCOL).
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// No response is due to a request that its client has abandoned, whose scheduler was killed before the deadline, that
-/// crossed the end of its connection, or whose deadline is after the end of the run.
+/// No response is due to a request that its client has abandoned, whose scheduler was killed before the
+/// deadline, that crossed the end of its connection, or whose deadline is after the end of the run.
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
     let sent = request.sent?;
     if !request.responses.is_empty() || request.cancelled_at.is_some() {
--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -1,10 +1,12 @@
 //! The oracle: it decides from the records of a run which invariants the schedulers have violated.
 //!
-//! It owns the invariants and their tolerances, one invariant in each module. It depends on what the pages promise and on
-//! what was observed from outside, and on nothing of the schedulers' code. It keeps no state between runs.
+//! It owns the invariants and their tolerances, one invariant in each module. It depends on what the pages
+//! promise and on what was observed from outside, and on nothing of the schedulers' code. It keeps no state
+//! between runs.
 //!
-//! [`check`] orders the records by what they are about ([`history`]), and then checks each request, each worker and each
-//! process. [`check_recovery`] needs a run whose clients go on after the last fault, and is therefore separate.
+//! [`check`] orders the records by what they are about ([`history`]), and then checks each request, each
+//! worker and each process. [`check_recovery`] needs a run whose clients go on after the last fault, and is
+//! therefore separate.
 
 mod attempt_limit;
 mod cancellation;
@@ -47,8 +49,8 @@
 /// Checks an invariant of one request.
 type RequestCheck = fn(&RequestHistory, &Context) -> Option<Violation>;
 
-/// The checks of a request. Of each group only the first violation counts, since the other checks of the group assume that
-/// the earlier invariants hold.
+/// The checks of a request. Of each group only the first violation counts, since the other checks of the
+/// group assume that the earlier invariants hold.
 const REQUEST_CHECKS: [&[RequestCheck]; 4] = [
     &[
         single_response::check,
--- a/crates/fault-soak/src/invariants/outage_service.rs
+++ b/crates/fault-soak/src/invariants/outage_service.rs
@@ -5,8 +5,8 @@
 use crate::request::ResponseStatus;
 use std::time::Duration;
 
-/// From this time in an outage on, the endpoint list alone does not admit new work: 4 s and the grace period (page
-/// PROTOCOL).
+/// From this time in an outage on, the endpoint list alone does not admit new work: 4 s and the grace period
+/// (page PROTOCOL).
 const LIST_STALE_AFTER: Duration = Duration::from_millis(4_500);
 
 /// Requests sent late in outages.
--- a/crates/fault-soak/src/invariants/retry_safety.rs
+++ b/crates/fault-soak/src/invariants/retry_safety.rs
@@ -21,8 +21,8 @@
     })
 }
 
-/// After the execution of a request no attempt follows that its class forbids. The class of a request that was not sent
-/// whole is unknown, and permits all.
+/// After the execution of a request no attempt follows that its class forbids. The class of a request that
+/// was not sent whole is unknown, and permits all.
 pub(super) fn check_retries(request: &RequestHistory, _context: &Context) -> Option<Violation> {
     let class = request.class()?;
     let executed = request.attempts.iter().position(|attempt| attempt.is_executed)?;
--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -228,7 +228,8 @@
     assert_eq!(violated(&[process(900, unhealthy)]), [Invariant::ProcessHealth]);
 }
 
-/// What is published in an outage counts as notified 4 s after the outage began, or at once where it comes later.
+/// What is published in an outage counts as notified 4 s after the outage began, or at once where it comes
+/// later.
 #[test]
 fn drain_notifications_during_an_outage_count_from_the_start_of_the_outage() {
     let outage_fault = |milliseconds, phase| {
--- a/crates/fault-soak/src/invariants/violation.rs
+++ b/crates/fault-soak/src/invariants/violation.rs
@@ -14,7 +14,8 @@
     SingleResponse,
     /// A5: a served response has the body of a worker that has executed the request.
     ResponseBody,
-    /// B1: a request that may have been executed is neither retried nor rejected, unless its class permits that.
+    /// B1: a request that may have been executed is neither retried nor rejected, unless its class permits
+    /// that.
     RetrySafety,
     /// B2: no attempt starts after the client has abandoned the request.
     Cancellation,
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,7 +1,8 @@
-//! Injects seeded schedules of overlapping faults into real schedulers on loopback, and checks their invariants from
-//! outside.
+//! Injects seeded schedules of overlapping faults into real schedulers on loopback, and checks their
+//! invariants from outside.
 //!
-//! The same seed gives the same schedule. The environment, real processes on real sockets, differs from run to run.
+//! The same seed gives the same schedule. The environment, real processes on real sockets, differs from run
+//! to run.
 //!
 //! The modules, each of which depends on those below it only:
 //!
