--- a/crates/fault-soak/src/command_line.rs
+++ b/crates/fault-soak/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line interface.
 
 use crate::environment::{EnvironmentSize, LaunchOptions};
 use crate::faults::{FaultKind, PlannedFault, schedule};
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Longest time in which faults start, in seconds.
+/// The upper bound of `--seconds`.
 const MAX_SECONDS: f64 = 3_600.0;
 
 /// Injects overlapping faults into real schedulers and checks their invariants.
 #[derive(Parser)]
 #[command(
     version,
-    after_help = "Exit status: 0 no invariant was violated, 1 one was, 2 a run was not possible."
+    after_help = "Exit status: 0 if no invariant was violated, 1 if any was, 2 if a run was not possible."
 )]
 pub(crate) struct CommandLine {
     #[command(subcommand)]
@@ -24,9 +24,9 @@
 
 #[derive(Subcommand)]
 pub(crate) enum Command {
-    /// Runs the schedules of some seeds, one after another.
+    /// Runs the fault schedules of one or more seeds, one after another.
     Run(RunArguments),
-    /// Prints the schedule of a seed.
+    /// Prints the fault schedule of a seed.
     Show(ScheduleArguments),
     /// Lists the kinds of faults.
     Kinds,
@@ -37,7 +37,7 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
-    /// Seconds in which faults start.
+    /// Length of the period in which faults start, in seconds.
     #[arg(long, default_value_t = 7.0)]
     seconds: f64,
     /// Inject only these kinds of faults.
@@ -49,31 +49,31 @@
 pub(crate) struct RunArguments {
     #[command(flatten)]
     schedule: ScheduleArguments,
-    /// How many seeds, counting up.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Schedulers, each a process of its own.
+    /// Number of schedulers, each a separate process.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u8).range(1..=40))]
     schedulers: u8,
-    /// Stand-in workers.
+    /// Number of simulated workers.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(1..=40))]
     workers: u8,
-    /// Clients of each scheduler.
+    /// Number of clients per scheduler.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=20))]
     clients: u8,
-    /// The scheduler; by default the one beside this program.
+    /// Path of the scheduler program; by default the one in this program's directory.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// The library that injects faults into it; by default the one beside this program.
+    /// Path of the fault injection library; by default the one in this program's directory.
     #[arg(long)]
     shim: Option<PathBuf>,
-    /// Least severe level of the schedulers' logs.
+    /// Minimum severity of the schedulers' log lines.
     #[arg(long, default_value = "info")]
     log_level: String,
 }
 
 impl ScheduleArguments {
-    /// The schedule of a seed with these arguments.
+    /// Returns the schedule of a seed for these arguments.
     pub(crate) fn schedule_of(&self, seed: u64) -> Vec<PlannedFault> {
         let length = Duration::from_secs_f64(self.seconds.clamp(0.0, MAX_SECONDS));
         schedule(seed, length, &self.kinds)
@@ -81,21 +81,24 @@
 }
 
 impl RunArguments {
-    /// The seeds to run.
+    /// Returns the seeds to run.
     pub(crate) fn seeds(&self) -> Range<u64> {
         let first = self.schedule.seed;
         first..first.saturating_add(self.seeds)
     }
 
-    /// The schedule of a seed.
+    /// Returns the schedule of a seed.
     pub(crate) fn schedule_of(&self, seed: u64) -> Vec<PlannedFault> {
         self.schedule.schedule_of(seed)
     }
 
-    /// How the schedulers are started. Fails if a file of the build is missing.
+    /// Returns how to start the schedulers. Fails if the scheduler program or the fault injection library is
+    /// missing.
     pub(crate) fn launch_options(&self) -> Result<LaunchOptions> {
         let own_path = std::env::current_exe()?;
-        let folder = own_path.parent().context("this program lies in no folder")?;
+        let folder = own_path
+            .parent()
+            .context("this program's path has no parent directory")?;
         let path_or_default =
             |given: &Option<PathBuf>, name: &str| given.clone().unwrap_or_else(|| folder.join(name));
         let options = LaunchOptions {
@@ -110,7 +113,7 @@
         Ok(options)
     }
 
-    /// The size of the environment.
+    /// Returns the size of the environment.
     pub(crate) fn environment_size(&self) -> EnvironmentSize {
         EnvironmentSize {
             schedulers: usize::from(self.schedulers),
--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -1,4 +1,4 @@
-//! What was covered over all seeds, and which invariants were violated.
+//! Totals over all seeds: the faults that were covered and the invariants that were violated.
 
 use crate::faults::{FaultKind, PlannedFault};
 use crate::invariants::{Invariant, OutageService, count_outage_service};
@@ -14,8 +14,9 @@
     requests: usize,
     responses: BTreeMap<ResponseStatus, usize>,
     faults: BTreeMap<FaultKind, usize>,
-    /// The kinds of two faults, and of three, that were active at the same time.
+    /// The pairs of fault kinds that were active at the same time.
     overlapping_pairs: BTreeSet<[FaultKind; 2]>,
+    /// The triples of fault kinds that were active at the same time.
     overlapping_triples: BTreeSet<[FaultKind; 3]>,
     outage_service: OutageService,
     violations: BTreeMap<Invariant, usize>,
@@ -23,7 +24,7 @@
 }
 
 impl Coverage {
-    /// Adds a run.
+    /// Adds the result of a run to the totals.
     pub(crate) fn add(&mut self, seed: u64, schedule: &[PlannedFault], result: &RunResult) {
         self.seeds += 1;
         for record in &result.records {
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Adds the pairs and triples of fault kinds that overlap in time.
     fn add_overlaps(&mut self, schedule: &[PlannedFault]) {
         for (index, first) in schedule.iter().enumerate() {
             let overlapping: Vec<&PlannedFault> = schedule[index + 1..]
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether any invariant was violated.
+    /// Returns whether any invariant was violated.
     pub(crate) fn has_violations(&self) -> bool {
         !self.violations.is_empty()
     }
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,17 +1,17 @@
-//! Injects seeded schedules of overlapping faults into real schedulers on loopback, and checks their
-//! invariants from outside.
+//! Injects seeded schedules of overlapping faults into real schedulers on loopback and checks their
+//! invariants from the outside.
 //!
-//! The same seed gives the same schedule. The environment, real processes on real sockets, differs from run
-//! to run.
+//! The same seed gives the same schedule. The timing still differs from run to run, because the environment
+//! consists of real processes and real sockets.
 //!
-//! The modules, each of which depends on those below it only:
+//! The modules, each of which depends only on those below it:
 //!
-//! - `command_line`, `coverage` and `report` are what a user sees.
-//! - [`run`] plays one schedule from its start to the verdict.
-//! - [`faults`] has the kinds of faults, the schedules, and how each kind is injected.
-//! - [`invariants`] is the oracle: it judges the records of a run.
-//! - [`environment`] runs the schedulers, with stand-ins for workers, networks, discovery and clients.
-//! - [`recorder`], `request` and `timer_lag` hold what was observed.
+//! - `command_line`, `coverage` and `report` are the user interface.
+//! - [`run`] executes one schedule and checks its result.
+//! - [`faults`] defines the fault kinds, generates the schedules and injects the faults.
+//! - [`invariants`] is the test oracle: it checks the records of a run for violations.
+//! - [`environment`] runs the schedulers with simulated workers, networks, discovery and clients.
+//! - [`recorder`], `request` and `timer_lag` hold the observations of a run.
 
 mod command_line;
 mod coverage;
@@ -31,9 +31,9 @@
 use faults::FaultKind;
 use std::process::ExitCode;
 
-/// Exit status if an invariant was violated.
+/// The exit status if an invariant was violated.
 const VIOLATED: u8 = 1;
-/// Exit status if a run was not possible.
+/// The exit status if a run was not possible.
 const NOT_RUN: u8 = 2;
 
 #[tokio::main]
--- a/crates/fault-soak/src/recorder.rs
+++ b/crates/fault-soak/src/recorder.rs
@@ -1,20 +1,20 @@
-//! The event log of a run: what clients, workers and processes observed, in the order in which it happened.
+//! The event log of a run: the observations of clients, workers and processes, in chronological order.
 
 use crate::request::{ConnectionId, RequestClass, RequestId, ResponseStatus};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// One process of a scheduler: the scheduler's index, and how often it has been started.
+/// One process of a scheduler, identified by the scheduler's index and the number of its starts so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Incarnation {
     pub(crate) scheduler: usize,
     pub(crate) generation: u32,
 }
 
-/// An observation.
+/// An observed event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A client has written a whole request.
+    /// A client has written a complete request.
     RequestSent {
         request: RequestId,
         class: RequestClass,
@@ -28,26 +28,26 @@
         status: ResponseStatus,
         body_matches: bool,
     },
-    /// A client has cancelled a request, or closed the connection with the request in flight.
+    /// A client has cancelled a request, or has closed its connection while the request was in flight.
     RequestCancelled { request: RequestId },
     /// A scheduler has closed a connection.
     ConnectionClosed { connection: ConnectionId },
-    /// A worker has received a whole attempt of a request.
+    /// A worker has received a complete attempt of a request.
     AttemptReceived {
         request: RequestId,
         worker: usize,
         time_limit: Duration,
         is_executed: bool,
-        /// No fault of the network or the worker delays it, so that it arrives when it is sent.
+        /// Whether no network or worker fault delays the attempt, so that it arrives when it is sent.
         is_undelayed: bool,
     },
     /// A worker has received a load order.
     LoadOrderReceived { worker: usize, is_undelayed: bool },
-    /// From now on the endpoint list has a worker as draining.
+    /// The endpoint list now has a worker as draining.
     WorkerDraining { worker: usize },
-    /// From now on the endpoint list has a worker as ready, as a new process at its old address.
+    /// The endpoint list now has a worker as ready: a new process at the old address.
     WorkerReady { worker: usize },
-    /// A fault starts or ends.
+    /// A fault has started or ended.
     Fault {
         number: usize,
         description: String,
@@ -61,13 +61,13 @@
     },
 }
 
-/// What a fault does to the updates of the endpoint list.
+/// The effect of a fault on endpoint updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryEffect {
     None,
-    /// While it lasts, and for some time after, a scheduler may not know of changes.
+    /// A scheduler may not know of changes while the fault lasts and for some time after it.
     DelaysUpdates,
-    /// The discovery service is out of reach of every scheduler.
+    /// No scheduler can reach the discovery service.
     Outage,
 }
 
@@ -83,9 +83,9 @@
 pub(crate) enum ProcessEvent {
     Started,
     Ready,
-    /// It was sent SIGTERM.
+    /// The process was sent SIGTERM.
     Terminated,
-    /// It was sent SIGKILL.
+    /// The process was sent SIGKILL.
     Killed,
     Exited {
         success: bool,
@@ -94,34 +94,34 @@
     Unhealthy(HealthProblem),
 }
 
-/// What is wrong with a scheduler's process.
+/// A problem of a scheduler's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum HealthProblem {
     NotReadyInTime,
     NotGoneInTime {
         after_sigterm: Duration,
     },
-    /// It holds too much at rest.
+    /// The idle process holds too many file descriptors or threads.
     TooManyResources {
         descriptors: usize,
         threads: usize,
     },
-    /// It does not watch the endpoint list.
+    /// The process does not watch the endpoint list.
     NoWatch,
-    /// It has logged a violation or a panic.
+    /// The process has logged a violation or a panic.
     ReportedViolation {
         log_line: String,
     },
 }
 
-/// An event and when it was observed, since the start of the run.
+/// An event with the time at which it was observed, since the start of the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) at: Duration,
     pub(crate) event: Event,
 }
 
-/// Collects the events of all tasks.
+/// Collects the events that all tasks observe.
 #[derive(Debug)]
 pub(crate) struct Recorder {
     start: Instant,
@@ -129,6 +129,7 @@
 }
 
 impl Recorder {
+    /// Creates an empty recorder; the run starts now.
     pub(crate) fn new() -> Recorder {
         Recorder {
             start: Instant::now(),
@@ -136,25 +137,25 @@
         }
     }
 
-    /// When the run started.
+    /// Returns when the run started.
     pub(crate) fn start(&self) -> Instant {
         self.start
     }
 
-    /// The time since the start of the run.
+    /// Returns the time since the start of the run.
     pub(crate) fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Records an event that is observed now.
+    /// Records an event at the current time.
     pub(crate) fn record(&self, event: Event) {
         let mut records = self.records.lock().expect("no task panics while it records");
-        // Read under the lock, so that the records are in the order of their times.
+        // The time is read under the lock so that the records are in chronological order.
         let at = self.now();
         records.push(Record { at, event });
     }
 
-    /// All records so far, in order.
+    /// Returns all records so far, in chronological order.
     pub(crate) fn records(&self) -> Vec<Record> {
         let records = self.records.lock().expect("no task panics while it records");
         records.clone()
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -6,14 +6,17 @@
 use crate::run::RunResult;
 use std::time::Duration;
 
-/// The timeline has the records within this time of the first violation.
+/// The timeline shows the records that are less than this away from the first violation.
 const TIMELINE_SPAN: Duration = Duration::from_millis(2_500);
-/// Lines of each log in the timeline at most.
+/// The maximum number of lines of each scheduler's log in the timeline.
 const MAX_LOG_LINES: usize = 12;
-/// Violations that are listed one by one.
+/// The maximum number of violations that are listed individually.
 const MAX_LISTED_VIOLATIONS: usize = 12;
 
-/// Prints the result of one seed: one line, or the violations with the timeline around the first.
+/// Prints the result of one seed.
+///
+/// Without violations it is one line; otherwise it lists the violations and the timeline around the first
+/// one.
 pub(crate) fn print(seed: u64, result: &RunResult) {
     let timer_lag = result.max_timer_lag;
     let Some(first) = result.violations.first() else {
@@ -71,7 +74,10 @@
     }
 }
 
-/// Whether a record is about the request of a violation, or about a fault or a state near its time.
+/// Returns whether a record is relevant to a violation.
+///
+/// It is if it concerns the same request, or if it is a fault or a change of state near the time of the
+/// violation.
 fn is_relevant(record: &Record, violation: &Violation) -> bool {
     let is_violating_request = |request: &RequestId| violation.request == Some(*request);
     match &record.event {
@@ -87,14 +93,14 @@
     }
 }
 
-/// The last lines of a log that were read near a time.
+/// Returns the last lines of a log that were read near a time, at most [`MAX_LOG_LINES`].
 fn log_lines_near(log_tail: &[String], at: Duration) -> Vec<&String> {
     let near: Vec<&String> = log_tail.iter().filter(|line| is_near(line, at)).collect();
     let skipped = near.len().saturating_sub(MAX_LOG_LINES);
     near[skipped..].to_vec()
 }
 
-/// Whether a line of a log, which begins with its time in seconds, was read near a time.
+/// Returns whether a log line was read near a time. The line begins with the time of its reading, in seconds.
 fn is_near(line: &str, at: Duration) -> bool {
     let time = line.split(' ').next().and_then(|word| word.parse::<f64>().ok());
     time.is_some_and(|time| (time - at.as_secs_f64()).abs() < TIMELINE_SPAN.as_secs_f64())
--- a/crates/fault-soak/src/request.rs
+++ b/crates/fault-soak/src/request.rs
@@ -1,8 +1,8 @@
-//! A request as its client and its worker know it.
+//! The properties of a request that its client and its worker share.
 
 use std::fmt;
 
-/// Identifies a request; the client, the scheduler's log and the worker use the same number.
+/// Identifies a request in the client, in the scheduler's log and in the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RequestId(pub(crate) u64);
 
@@ -12,23 +12,24 @@
     }
 }
 
-/// Identifies a client's connection among all of a run.
+/// Identifies a client connection within a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionId(pub(crate) u64);
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum RequestClass {
-    /// It may be retried freely.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It has an idempotency key: workers discard duplicates for a time, in which it may be retried.
+    /// The request has an idempotency key: it may be retried during the deduplication window, in which
+    /// workers discard duplicates.
     IdempotencyKey,
-    /// It may be executed once at most.
+    /// The request may be executed at most once.
     NonIdempotent,
 }
 
 impl RequestClass {
-    /// The name of the class in the settings and on the wire.
+    /// Returns the name of the class in the settings and on the wire.
     pub(crate) fn service_name(self) -> &'static str {
         match self {
             RequestClass::Idempotent => "match",
@@ -43,8 +44,8 @@
 pub(crate) enum ResponseStatus {
     /// The response carries the worker's result.
     Served,
-    /// No attempt was made, or none may have been executed.
+    /// No attempt was made, or none can have been executed.
     Rejected,
-    /// The request may have been executed, without a result.
+    /// The request may have been executed, but there is no result.
     Failed,
 }
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: the faults of a schedule, injected into an environment, and the oracle's verdict.
+//! One run: injects the faults of a schedule into an environment and checks the invariants.
 
 use crate::environment::settings::longest_deadline;
 use crate::environment::{Environment, EnvironmentSize, LaunchOptions};
@@ -12,11 +12,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Time without faults before the first one.
+/// The time without faults before the schedule starts.
 const WARM_UP: Duration = Duration::from_millis(800);
-/// Time without faults after the last one, in which service has to come back.
+/// The time without faults after the last one, in which the service has to recover.
 const RECOVERY_TIME: Duration = Duration::from_millis(4_500);
-/// Time for the last responses beyond the longest deadline.
+/// The time beyond the longest deadline that is left for the last responses.
 const LAST_RESPONSES_MARGIN: Duration = Duration::from_millis(800);
 
 /// The result of a run.
@@ -26,11 +26,11 @@
     pub(crate) records: Vec<Record>,
     /// The last log lines of each scheduler.
     pub(crate) log_tails: Vec<Vec<String>>,
-    /// How late the timers of this program were at most.
+    /// The longest lag of this program's own timers.
     pub(crate) max_timer_lag: Duration,
 }
 
-/// Runs a schedule.
+/// Runs a schedule and checks the invariants.
 pub(crate) async fn run(
     seed: u64,
     size: &EnvironmentSize,
@@ -63,7 +63,7 @@
     })
 }
 
-/// Injects all faults at their times, and waits for the end of the last one.
+/// Injects all faults at their scheduled times and waits until the last one has ended.
 async fn inject_all(environment: &Arc<Environment>, schedule: &[PlannedFault]) {
     let start = Instant::now();
     let faults: Vec<JoinHandle<()>> = schedule
@@ -79,12 +79,12 @@
         })
         .collect();
     for fault in faults {
-        // A task fails by a panic only, which the runtime has printed.
+        // A task fails only by a panic, which the runtime has already printed.
         let _ = fault.await;
     }
 }
 
-/// Injects a fault, and records its start and its end.
+/// Injects a fault and records its start and its end.
 async fn inject(environment: &Environment, number: usize, fault: &PlannedFault) {
     let event = |phase| Event::Fault {
         number,
--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -1,17 +1,17 @@
-//! How late the soak's own timers fire: the times that it observes are off by as much at most.
+//! Measures how late the soak's own timers fire, which bounds the error of the times that it observes.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Interval of the timer that is measured.
+/// The interval of the timer that is observed.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// A late tick counts for all events within this time of it.
+/// A late tick applies to all events that are less than this away from it.
 const LAG_WINDOW: Duration = Duration::from_millis(1_000);
-/// A tick that is late by no more than this is within the timer's resolution.
+/// Ticks that are late by no more than this are ignored: it is the resolution of the timer.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(4);
 
-/// The ticks that were late.
+/// The late ticks of the soak's own timer.
 #[derive(Debug, Default)]
 pub(crate) struct TimerLag {
     late_ticks: Mutex<Vec<LateTick>>,
@@ -24,7 +24,7 @@
 }
 
 impl TimerLag {
-    /// Starts to measure, for as long as the runtime lasts.
+    /// Starts a task that measures the lag until the runtime ends. `start` is the start of the run.
     pub(crate) fn measure(start: Instant) -> Arc<TimerLag> {
         let timer_lag = Arc::new(TimerLag::default());
         let measured = Arc::clone(&timer_lag);
@@ -42,14 +42,14 @@
         timer_lag
     }
 
-    /// The longest lag max_near a time.
+    /// Returns the longest lag near a time.
     pub(crate) fn max_near(&self, at: Duration) -> Duration {
         let late_ticks = self.late_ticks();
         let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < LAG_WINDOW);
         nearby.map(|tick| tick.lag).max().unwrap_or_default()
     }
 
-    /// The longest lag of the run.
+    /// Returns the longest lag of the run.
     pub(crate) fn max(&self) -> Duration {
         let late_ticks = self.late_ticks();
         late_ticks.iter().map(|tick| tick.lag).max().unwrap_or_default()
