--- a/crates/fault-soak/src/faults/client_connections.rs
+++ b/crates/fault-soak/src/faults/client_connections.rs
@@ -6,11 +6,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Connections that are opened.
+/// The number of connections that a fault opens.
 const IDLE_CONNECTIONS: usize = 120;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Opens idle connections to a scheduler, and closes them when the fault ends.
+/// Opens idle connections to a scheduler and closes them when the fault ends.
 pub(super) async fn open_idle(scheduler: &Scheduler, fault: &PlannedFault) {
     let mut connections = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -1,5 +1,7 @@
-//! Outages of the discovery service that outlast the time after which a change counts as notified all the
-//! same.
+//! Outages of the discovery service that outlast the notification deadline.
+//!
+//! A scheduler counts as notified of a change when the notification deadline has passed, even if the change
+//! has not reached it.
 
 use super::schedule::PlannedFault;
 use super::{activate, worker_replacement};
@@ -8,15 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// When the first worker begins to drain: soon after the beginning of the outage, in milliseconds.
+/// The delays of the first drain from the start of the outage, in milliseconds. The drain starts early in the
+/// outage.
 const EARLY_DRAIN_DELAYS_MS: RangeInclusive<u64> = 20..=800;
-/// When the second one does: about when the first drain counts as notified, or later, in milliseconds.
+/// The delays of the second drain from the start of the outage, in milliseconds. The drain starts about when
+/// the first one counts as notified, or later.
 const LATE_DRAIN_DELAYS_MS: RangeInclusive<u64> = 3_500..=5_500;
-/// How long the workers go on draining after the end of the outage.
+/// The time for which the workers go on draining after the end of the outage.
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
-/// Makes discovery unreachable, closed or silent, and drains two workers meanwhile, which stay up until it is
-/// back.
+/// Makes the discovery service unreachable and drains two workers during the outage.
+///
+/// The service either closes its connections or leaves them open without sending anything. The workers stay
+/// up until the outage has ended.
 pub(super) async fn disconnect_and_drain(environment: &Environment, fault: &PlannedFault) {
     let switches = &environment.discovery.switches;
     let switch = if fault.variant.is_multiple_of(2) {
@@ -41,7 +47,7 @@
     );
 }
 
-/// Drains a worker from a time in the outage on to its end.
+/// Drains a worker from a random time during the outage until shortly after its end.
 async fn drain(
     environment: &Environment,
     worker: &ListedWorker,
--- a/crates/fault-soak/src/faults/kind.rs
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -1,10 +1,12 @@
-//! The kinds of faults. The first line of a kind's comment is its description on the command line.
+//! The fault kinds. The first line of a kind's comment is its description on the command line.
 
 use crate::recorder::DiscoveryEffect;
 use clap::ValueEnum;
 use std::ops::RangeInclusive;
 
-/// A kind of fault. A schedule depends on the order of the kinds: a new one goes to the end.
+/// A kind of fault.
+///
+/// A schedule depends on the order of the kinds, so a new one goes to the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ValueEnum)]
 pub(crate) enum FaultKind {
     /// Sends SIGTERM to a scheduler and starts it again after it has exited.
@@ -13,17 +15,17 @@
     Kill,
     /// Moves the discovery service to its other address and sends SIGHUP to every scheduler.
     Reload,
-    /// As reload, but one scheduler reads a configuration file that is cut short and completed later.
+    /// Does the same as reload, but one scheduler's configuration file is truncated and completed later.
     ReloadTruncatedConfig,
     /// Pauses a scheduler's process with SIGSTOP and resumes it with SIGCONT.
     Pause,
     /// Steps a scheduler's wall clock by up to an hour, and back.
     ClockStep,
-    /// Makes one system call of a scheduler fail, on all calls or on some.
+    /// Makes some or all invocations of one system call fail in a scheduler.
     SystemCallErrors,
-    /// Makes a scheduler's reads and writes on TCP sockets transfer fewer bytes than asked.
+    /// Makes a scheduler's reads and writes on TCP sockets transfer fewer bytes than requested.
     ShortIo,
-    /// Does not read a scheduler's log, so that its standard error fills up.
+    /// Stops reading a scheduler's log, so that its standard error pipe fills up.
     LogStall,
     /// Stops reading from the connections to a worker, so that their buffers fill up.
     WorkerStall,
@@ -43,11 +45,11 @@
     NetworkReset,
     /// Keeps the connections to a worker open but delivers nothing on them.
     NetworkBlackHole,
-    /// Makes the discovery service close its connections, new ones too.
+    /// Makes the discovery service close its connections, including new ones.
     DiscoveryDown,
     /// Keeps the connections to the discovery service open but sends nothing on them.
     DiscoveryBlackHole,
-    /// Makes clients cancel requests, or close connections with requests in flight.
+    /// Makes clients cancel requests or close connections with requests in flight.
     ClientsAbandonRequests,
     /// Makes clients send malformed frames with requests in flight.
     ClientsMalformedFrames,
@@ -55,30 +57,29 @@
     ClientsIgnoreGoAway,
     /// Opens many client connections that send nothing.
     ClientsIdle,
-    /// Makes discovery unreachable for longer than all clocks for that, and drains workers early and late in
-    /// it.
+    /// Causes a discovery outage that outlasts all related timeouts and drains workers early and late in it.
     LongDiscoveryOutage,
-    /// Sends a scheduler SIGHUP, SIGUSR1 and SIGTERM in a row, some of them again while it shuts down.
+    /// Sends a scheduler SIGHUP, SIGUSR1 and SIGTERM in a row, and again while it shuts down.
     SignalSeries,
-    /// Has many more clients send requests to one scheduler.
+    /// Makes many additional clients send requests to one scheduler.
     ClientsCrowd,
 }
 
-/// How long most faults last, in milliseconds.
+/// The range of the duration of most faults, in milliseconds.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=1_500;
-/// How long an outage lasts that is longer than the time after which a change counts as notified (4 s) and
-/// the grace period, in milliseconds.
+/// The range of the duration of a long discovery outage, in milliseconds. It is longer than the sum of the
+/// notification deadline (4 s) and the grace period of a drain.
 const LONG_OUTAGE_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
 
 impl FaultKind {
-    /// Its name and its description, as the command line has them.
+    /// Returns the kind's name and description on the command line.
     pub(crate) fn name_and_description(self) -> (String, String) {
         let value = self.to_possible_value().expect("no kind is hidden");
         let description = value.get_help().map(ToString::to_string);
         (value.get_name().to_owned(), description.unwrap_or_default())
     }
 
-    /// How long a fault of this kind lasts, in milliseconds.
+    /// Returns the range of the duration of a fault of this kind, in milliseconds.
     pub(super) fn durations_ms(self) -> RangeInclusive<u64> {
         match self {
             FaultKind::LongDiscoveryOutage => LONG_OUTAGE_DURATIONS_MS,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// What it does to the updates of the endpoint list.
+    /// Returns the effect of this kind on endpoint updates.
     pub(crate) fn discovery_effect(self) -> DiscoveryEffect {
         match self {
             FaultKind::DiscoveryDown | FaultKind::DiscoveryBlackHole | FaultKind::LongDiscoveryOutage => {
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -1,4 +1,4 @@
-//! The faults: their kinds, the schedule of a seed, and how each kind is injected.
+//! The fault kinds, the schedule of a seed, and the injection of each kind.
 
 mod client_connections;
 mod discovery_outage;
@@ -17,7 +17,7 @@
 use crate::environment::{Environment, FaultSwitch};
 use tokio::time::sleep;
 
-/// Injects a fault from its start to its end.
+/// Injects a fault and returns when it has ended.
 pub(crate) async fn inject(environment: &Environment, fault: &PlannedFault) {
     let scheduler = environment.scheduler(fault.target);
     let worker = environment.worker(fault.target);
@@ -58,7 +58,7 @@
     }
 }
 
-/// Keeps a switch on for the duration of the fault.
+/// Turns a switch on for the duration of the fault.
 async fn activate(environment: &Environment, switch: &FaultSwitch, fault: &PlannedFault) {
     switch.activate(environment.recorder.now());
     sleep(fault.duration).await;
--- a/crates/fault-soak/src/faults/reload.rs
+++ b/crates/fault-soak/src/faults/reload.rs
@@ -1,4 +1,4 @@
-//! Faults of a reload: the discovery service moves, and the schedulers are sent SIGHUP.
+//! Reload faults: the discovery service moves to its other address, and the schedulers are sent SIGHUP.
 
 use super::schedule::PlannedFault;
 use crate::environment::{Environment, Scheduler};
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Length of a truncated configuration file.
+/// The range of the length of a truncated configuration file, in bytes.
 const TRUNCATED_BYTES: Range<usize> = 500..1_500;
-/// How long a configuration file stays truncated at most.
+/// The longest time for which a configuration file stays truncated.
 const MAX_TRUNCATED_TIME: Duration = Duration::from_millis(400);
 
-/// Moves the discovery service and notifies every scheduler, the targeted one first.
+/// Moves the discovery service and makes every scheduler reload, the targeted one first.
 pub(super) fn reload(environment: &Environment, target: &Arc<Scheduler>) {
     environment.discovery.switch_address();
     let others = environment
@@ -25,8 +25,10 @@
     }
 }
 
-/// Moves the discovery service and has the targeted scheduler reload while its file is truncated. The file is
-/// completed without a further SIGHUP: the scheduler has to find that by itself.
+/// Moves the discovery service and makes the targeted scheduler reload while its configuration file is
+/// truncated.
+///
+/// The file is completed without another SIGHUP: the scheduler has to detect the change by itself.
 pub(super) async fn reload_truncated(
     environment: &Environment,
     target: &Arc<Scheduler>,
--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of a seed: which faults are injected, and when.
+//! Generates the schedule of a seed: which faults are injected, and when.
 
 use super::kind::FaultKind;
 use super::system_call_failure::SystemCallFailure;
@@ -8,34 +8,34 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Faults that start together.
+/// The range of the number of faults in a group, which start at about the same time.
 const GROUP_SIZES: RangeInclusive<usize> = 2..=3;
-/// Time between the starts of two groups, in milliseconds.
+/// The range of the time between the starts of two groups, in milliseconds.
 const GROUP_INTERVALS_MS: RangeInclusive<u64> = 500..=1_300;
-/// How much later than its group a fault starts, in milliseconds.
+/// The range of the delay of a fault from the start of its group, in milliseconds.
 const START_OFFSETS_MS: RangeInclusive<u64> = 0..=250;
-/// Targets are drawn below this and then taken modulo the number of schedulers or workers.
+/// The exclusive upper bound of a target, which is later reduced modulo the number of schedulers or workers.
 const TARGET_BOUND: usize = 1000;
 
 /// A fault of a schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedFault {
     pub(crate) kind: FaultKind,
-    /// The scheduler or worker that it hits, modulo their number.
+    /// The index of the scheduler or worker that is affected, modulo their number.
     pub(crate) target: usize,
     pub(crate) starts_at: Duration,
     pub(crate) duration: Duration,
-    /// Selects a variant of the kind.
+    /// A random number that selects a variant of the kind.
     pub(crate) variant: u64,
 }
 
 impl PlannedFault {
-    /// When it ends.
+    /// Returns when the fault ends.
     pub(crate) fn ends_at(&self) -> Duration {
         self.starts_at + self.duration
     }
 
-    /// Whether both are active at some time.
+    /// Returns whether both faults are active at some time.
     pub(crate) fn overlaps(&self, other: &PlannedFault) -> bool {
         other.starts_at < self.ends_at() && self.starts_at < other.ends_at()
     }
@@ -56,8 +56,9 @@
     }
 }
 
-/// The faults of a seed that start within `length`, in the order of their starts. They are of the given
-/// kinds, or of all kinds if none is given.
+/// Returns the faults of a seed that start in groups within `length`, in the order of their starts.
+///
+/// They are of the given kinds, or of all kinds if `kinds` is empty.
 pub(crate) fn schedule(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
     let kinds = if kinds.is_empty() {
         FaultKind::value_variants()
@@ -68,7 +69,7 @@
     let mut faults = Vec::new();
     let mut group_at = Duration::from_millis(random.u64(GROUP_INTERVALS_MS));
     while group_at < length {
-        // Half of the groups hit one target with all their faults.
+        // In about half of the groups all faults affect the same target.
         let shared_target = random.bool().then(|| random.usize(..TARGET_BOUND));
         for _ in 0..random.usize(GROUP_SIZES) {
             faults.push(draw_fault(&mut random, kinds, group_at, shared_target));
@@ -79,7 +80,9 @@
     faults
 }
 
-/// Draws one fault. A schedule depends on the order of the draws.
+/// Generates a random fault.
+///
+/// A schedule depends on the order in which the random numbers are drawn.
 fn draw_fault(
     random: &mut Rng,
     kinds: &[FaultKind],
--- a/crates/fault-soak/src/faults/scheduler_process.rs
+++ b/crates/fault-soak/src/faults/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! Faults of a scheduler's process: restarts, pauses, and what the shim injects into it.
+//! Faults of a scheduler's process: restarts, pauses, and the operating system faults that the shim injects.
 
 use super::schedule::PlannedFault;
 use super::system_call_failure::SystemCallFailure;
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Longest pause: the time limit that a worker is given may be off by 0.15 s.
+/// The longest pause. It is shorter than the tolerance of the time limit that a worker is given (0.15 s).
 const MAX_PAUSE: Duration = Duration::from_millis(100);
-/// How long a terminated scheduler still gets new clients, in milliseconds.
+/// The range of the time for which a terminated scheduler still gets new clients, in milliseconds.
 const ROTATION_DELAYS_MS: RangeInclusive<u64> = 200..=400;
-/// Time between two signals of a series, in milliseconds.
+/// The range of the time between two signals of a series, in milliseconds.
 const SIGNAL_INTERVALS_MS: RangeInclusive<u64> = 0..=120;
-/// How many of a thousand reads and writes are short.
+/// The rate of short reads and writes, per thousand.
 const SHORT_IO_PER_MILLE: i64 = 500;
-/// Steps of the wall clock, in seconds.
+/// The steps of the wall clock, in seconds.
 const CLOCK_STEPS_S: [i64; 6] = [-3_600, -10, -2, 2, 10, 3_600];
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// Sends SIGTERM, waits for the exit, and starts the scheduler again.
+/// Sends SIGTERM, waits for the exit and starts the scheduler again.
 pub(super) async fn terminate_and_restart(environment: &Environment, scheduler: &Arc<Scheduler>) {
     let Ok(_lifecycle) = scheduler.lifecycle.try_lock() else {
         return;
@@ -32,8 +32,8 @@
     restart(environment, scheduler).await;
 }
 
-/// Sends SIGHUP and SIGUSR1, then SIGTERM and the same again while the scheduler shuts down, and starts it
-/// again.
+/// Sends SIGHUP and SIGUSR1, then SIGTERM and the same signals again during the shutdown, and starts the
+/// scheduler again.
 pub(super) async fn send_signal_series(environment: &Environment, scheduler: &Arc<Scheduler>) {
     let Ok(_lifecycle) = scheduler.lifecycle.try_lock() else {
         return;
@@ -61,11 +61,12 @@
     restart(environment, scheduler).await;
 }
 
+/// Waits for the random time between two signals of a series.
 async fn pause_between_signals() {
     sleep(Duration::from_millis(fastrand::u64(SIGNAL_INTERVALS_MS))).await;
 }
 
-/// Sends SIGKILL, and starts the scheduler again after half of the fault's duration.
+/// Sends SIGKILL and starts the scheduler again after half of the fault's duration.
 pub(super) async fn kill_and_restart(
     environment: &Environment,
     scheduler: &Arc<Scheduler>,
@@ -79,32 +80,34 @@
     restart(environment, scheduler).await;
 }
 
-/// Starts a scheduler with the configuration as of now. A failure shows as a scheduler that is not ready.
+/// Starts a scheduler with the current configuration.
+///
+/// Errors are ignored here: the run reports a scheduler that does not become ready.
 async fn restart(environment: &Environment, scheduler: &Arc<Scheduler>) {
     let _ = environment.write_config(scheduler);
     let _ = scheduler.start().await;
 }
 
-/// Stops the process, and continues it.
+/// Pauses the process for the duration of the fault, or for [`MAX_PAUSE`] if that is shorter.
 pub(super) async fn pause(scheduler: &Scheduler, fault: &PlannedFault) {
     scheduler.signal(Signal::SIGSTOP);
     sleep(fault.duration.min(MAX_PAUSE)).await;
     scheduler.signal(Signal::SIGCONT);
 }
 
-/// Steps the wall clock, and back.
+/// Steps the wall clock, and steps it back when the fault ends.
 pub(super) async fn step_clock(scheduler: &Scheduler, fault: &PlannedFault) {
     let seconds = CLOCK_STEPS_S[fault.variant as usize % CLOCK_STEPS_S.len()];
     let nanoseconds = seconds * NANOSECONDS_PER_SECOND;
     set_slot_during(scheduler, fault, Slot::WALL_CLOCK_OFFSET, nanoseconds).await;
 }
 
-/// Makes reads and writes short.
+/// Makes some reads and writes short.
 pub(super) async fn shorten_io(scheduler: &Scheduler, fault: &PlannedFault) {
     set_slot_during(scheduler, fault, Slot::SHORT_IO_RATE, SHORT_IO_PER_MILLE).await;
 }
 
-/// Makes a system call fail.
+/// Makes the system call that the fault's variant selects fail.
 pub(super) async fn fail_system_call(scheduler: &Scheduler, fault: &PlannedFault) {
     let failure = SystemCallFailure::of_variant(fault.variant);
     let rate = i64::from(failure.rate_per_mille);
@@ -118,7 +121,7 @@
     .await;
 }
 
-/// Sets a slot of the control file for the duration of the fault, and clears it.
+/// Sets a slot of the control file for the duration of the fault and clears it afterwards.
 async fn set_slot_during(scheduler: &Scheduler, fault: &PlannedFault, slot: Slot, value: i64) {
     let _ = scheduler.set_control(slot, value);
     sleep(fault.duration).await;
--- a/crates/fault-soak/src/faults/system_call_failure.rs
+++ b/crates/fault-soak/src/faults/system_call_failure.rs
@@ -1,4 +1,4 @@
-//! The failures of system calls that the `system-call-errors` fault can inject.
+//! The system call failures that the `system-call-errors` fault can inject.
 
 use fault_control::SystemCall;
 use nix::errno::Errno;
@@ -9,7 +9,7 @@
 pub(crate) struct SystemCallFailure {
     pub(crate) call: SystemCall,
     pub(crate) error: Errno,
-    /// How many of a thousand calls fail.
+    /// The failure rate, in failed calls per thousand.
     pub(crate) rate_per_mille: u16,
 }
 
@@ -21,8 +21,10 @@
     }
 }
 
-/// The order is part of the schedules. Accepting and waiting never fail on every call: nobody could be
-/// accepted or served in that time.
+/// The failures to choose from. Their order determines the schedules.
+///
+/// `accept4` and `epoll_wait` never fail on every call, because no connection could be accepted or served in
+/// that time.
 const FAILURES: [SystemCallFailure; 17] = [
     failure(SystemCall::Accept, Errno::ECONNABORTED, 900),
     failure(SystemCall::Accept, Errno::ENFILE, 600),
@@ -44,7 +46,7 @@
 ];
 
 impl SystemCallFailure {
-    /// The failure that a fault's variant selects.
+    /// Returns the failure that a fault's variant selects.
     pub(crate) fn of_variant(variant: u64) -> SystemCallFailure {
         FAILURES[variant as usize % FAILURES.len()]
     }
--- a/crates/fault-soak/src/faults/tests.rs
+++ b/crates/fault-soak/src/faults/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the schedules and of the list of kinds.
+//! Tests of the schedules and of the list of fault kinds.
 
 use super::{FaultKind, schedule};
 use clap::ValueEnum;
--- a/crates/fault-soak/src/faults/worker_replacement.rs
+++ b/crates/fault-soak/src/faults/worker_replacement.rs
@@ -1,4 +1,4 @@
-//! The replacement of a worker by another process at the same address.
+//! Replaces a worker by another process at the same address.
 
 use crate::environment::{Environment, ListedWorker, WorkerState};
 use crate::recorder::Event;
@@ -7,18 +7,20 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How long a worker drains before its process exits, in milliseconds.
+/// The range of the time for which a worker drains before its process exits, in milliseconds.
 const DRAIN_TIMES_MS: RangeInclusive<u64> = 1_500..=6_000;
-/// How long nothing listens at the address.
+/// The time between the exit of the old process and the start of the new one, in which nothing listens at the
+/// address.
 const DOWNTIME: Duration = Duration::from_millis(300);
 
-/// How long a worker drains that is replaced without an outage.
+/// Returns a random drain time for a worker that is replaced while there is no outage.
 pub(super) fn random_drain_time() -> Duration {
     Duration::from_millis(fastrand::u64(DRAIN_TIMES_MS))
 }
 
-/// Drains a worker, removes it, and starts another process at its address. Nothing is done if the worker is
-/// being replaced already.
+/// Drains a worker, removes it, and starts another process at its address.
+///
+/// Does nothing if the worker is already being replaced.
 pub(super) async fn replace(environment: &Environment, listed: &ListedWorker, drain_time: Duration) {
     let Ok(_replacement) = listed.replacement.try_lock() else {
         return;
--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -8,7 +8,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// A late tick applies to all events that are less than this away from it.
 const LAG_WINDOW: Duration = Duration::from_millis(1_000);
-/// Ticks that are late by no more than this are ignored: it is the resolution of the timer.
+/// The resolution of the timer. Ticks that are late by no more than this are ignored.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(4);
 
 /// The late ticks of the soak's own timer.
