--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -1,7 +1,6 @@
-//! Outages of the discovery service that outlast the notification deadline.
+//! Outages of the discovery service that outlast the maximum notification delay.
 //!
-//! A scheduler counts as notified of a change when the notification deadline has passed, even if the change
-//! has not reached it.
+//! After that delay a scheduler counts as notified of a change even if the change has not reached it.
 
 use super::schedule::PlannedFault;
 use super::{activate, worker_replacement};
@@ -19,7 +18,7 @@
 /// The time for which the workers go on draining after the end of the outage.
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
-/// Makes the discovery service unreachable and drains two workers during the outage.
+/// Makes the discovery service unreachable and begins to drain two workers during the outage.
 ///
 /// The service either closes its connections or leaves them open without sending anything. The workers stay
 /// up until the outage has ended.
--- a/crates/fault-soak/src/faults/kind.rs
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -67,8 +67,8 @@
 
 /// The range of the duration of most faults, in milliseconds.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=1_500;
-/// The range of the duration of a long discovery outage, in milliseconds. It is longer than the sum of the
-/// notification deadline (4 s) and the grace period of a drain.
+/// The range of the duration of a long discovery outage, in milliseconds. It is longer than the maximum
+/// notification delay (4 s) and the grace period of a drain together.
 const LONG_OUTAGE_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
 
 impl FaultKind {
--- a/crates/fault-soak/src/invariants/cancellation.rs
+++ b/crates/fault-soak/src/invariants/cancellation.rs
@@ -4,7 +4,8 @@
 use super::{Context, Invariant, SOCKET_TOLERANCE, Violation};
 use std::time::Duration;
 
-/// An attempt may start this long after its client has abandoned the request (terms of 2026-12-02).
+/// The time after the client has abandoned a request in which an attempt may still start (the operators'
+/// terms of 2026-12-02).
 const CANCELLATION_TOLERANCE: Duration = Duration::from_millis(100);
 
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
--- a/crates/fault-soak/src/invariants/draining.rs
+++ b/crates/fault-soak/src/invariants/draining.rs
@@ -1,4 +1,4 @@
-//! B5: a draining worker gets no new work.
+//! B5: a draining worker gets no new attempts or load orders.
 
 use super::history::{Dispatch, Drain, RunHistory};
 use super::{Invariant, SOCKET_TOLERANCE, Violation};
@@ -7,13 +7,14 @@
 use crate::timer_lag::TimerLag;
 use std::time::Duration;
 
-/// A scheduler counts as notified of a change this long after it, whatever is wrong with discovery (page
-/// TERMS).
+/// The maximum notification delay: a scheduler counts as notified of a change this long after it, even if
+/// discovery fails (page TERMS).
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 
-/// How long a change takes to every scheduler that watches: an outage that begins before that may cut it off.
+/// The time that a change takes to reach every scheduler that watches the endpoint list. An outage that
+/// begins earlier may prevent the notification.
 const DELIVERY_TIME: Duration = Duration::from_millis(50);
-/// How long schedulers take to connect to discovery again, once it is back.
+/// The time that the schedulers take to reconnect to discovery after an outage.
 const RECONNECT_TIME: Duration = Duration::from_millis(600);
 
 pub(super) fn check(history: &RunHistory, timer_lag: &TimerLag) -> Vec<Violation> {
@@ -36,11 +37,11 @@
     dispatch.is_undelayed && dispatch.at > limit && !was_ready_again
 }
 
-/// When every scheduler counts as notified of a change of the endpoint list, as far as it matters for a
-/// dispatch.
+/// Returns when every scheduler counts as notified of a change of the endpoint list, considering the faults
+/// up to a dispatch.
 ///
-/// In an outage the time counts from its beginning, for all that is published in it: a change that is
-/// published later than [`MAX_NOTIFICATION_DELAY`] after the beginning counts as notified at once.
+/// For a change that is published during an outage, the delay counts from the start of the outage: if the
+/// change is published later than [`MAX_NOTIFICATION_DELAY`] after that start, it counts as notified at once.
 fn notified_at(history: &RunHistory, changed_at: Duration, dispatched_at: Duration) -> Duration {
     let mut outages = history.outages.iter().rev();
     let outage = outages.find(|outage| {
@@ -54,7 +55,7 @@
     }
 }
 
-/// Whether a fault may delay a change of the endpoint list on its way to a scheduler, other than an outage.
+/// Returns whether a fault other than an outage may delay the notification of a change of the endpoint list.
 fn is_delayed(history: &RunHistory, changed_at: Duration, dispatched_at: Duration) -> bool {
     let mut active_faults = 0;
     for fault in &history.endpoint_update_faults {
--- a/crates/fault-soak/src/invariants/final_response.rs
+++ b/crates/fault-soak/src/invariants/final_response.rs
@@ -4,12 +4,15 @@
 use super::{Context, Invariant, Violation, response_deadline};
 use std::time::Duration;
 
-/// A request that is sent less than this before the end of its connection may not have been received (page
+/// The time before the close of a connection in which a sent request is possibly not received (page
 /// PROTOCOL).
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// No response is due to a request that its client has abandoned, whose scheduler was killed before the
-/// deadline, that crossed the end of its connection, or whose deadline is after the end of the run.
+/// Checks that a request has a response if one is due.
+///
+/// None is due if the client abandoned the request, if the scheduler was killed before the response was due,
+/// if the request was sent within [`CLOSE_RACE_WINDOW`] before the close of its connection, or if the
+/// response was due after the end of the run.
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
     let sent = request.sent?;
     if !request.responses.is_empty() || request.cancelled_at.is_some() {
--- a/crates/fault-soak/src/invariants/history.rs
+++ b/crates/fault-soak/src/invariants/history.rs
@@ -1,40 +1,40 @@
-//! The records of a run, ordered by what they are about.
+//! The records of a run, grouped by the request, worker or process that they concern.
 
 use crate::recorder::{DiscoveryEffect, Event, FaultPhase, Incarnation, ProcessEvent, Record};
 use crate::request::{ConnectionId, RequestClass, RequestId, ResponseStatus};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// What the records say of a run.
+/// The history of a run, as its records show it.
 #[derive(Debug, Default)]
 pub(super) struct RunHistory {
     requests: BTreeMap<RequestId, RequestHistory>,
-    /// When a scheduler has closed a connection.
+    /// The times at which the schedulers closed connections.
     pub(super) closed_connections: HashMap<ConnectionId, Duration>,
-    /// When a process was killed.
+    /// The times at which processes were killed.
     pub(super) killed: HashMap<Incarnation, Duration>,
-    /// The drains of each worker, in order.
+    /// The drains of each worker, in chronological order.
     pub(super) drains: HashMap<usize, Vec<Drain>>,
-    /// Starts and ends of the faults that delay updates of the endpoint list, in order.
+    /// The starts and ends of the faults that delay endpoint updates, in chronological order.
     pub(super) endpoint_update_faults: Vec<EndpointUpdateFault>,
-    /// The outages of the discovery service, in order.
+    /// The outages of the discovery service, in chronological order.
     pub(super) outages: Vec<Outage>,
-    /// All work that workers have received, in order.
+    /// All attempts and load orders that workers have received, in chronological order.
     pub(super) dispatches: Vec<Dispatch>,
 }
 
-/// What the records say of one request.
+/// The history of one request, as its records show it.
 #[derive(Clone, Debug)]
 pub(super) struct RequestHistory {
     pub(super) id: RequestId,
-    /// None if the client has not written the whole request.
+    /// The request as sent, or `None` if the client has not written the complete request.
     pub(super) sent: Option<SentRequest>,
     pub(super) responses: Vec<Response>,
     pub(super) cancelled_at: Option<Duration>,
     pub(super) attempts: Vec<Attempt>,
 }
 
-/// A request as its client has sent it.
+/// A request, as its client sent it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentRequest {
     pub(super) at: Duration,
@@ -44,7 +44,7 @@
     pub(super) incarnation: Incarnation,
 }
 
-/// A response as the client has received it.
+/// A response, as the client received it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Response {
     pub(super) at: Duration,
@@ -52,7 +52,7 @@
     pub(super) body_matches: bool,
 }
 
-/// An attempt as a worker has received it.
+/// An attempt, as a worker received it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) at: Duration,
@@ -61,7 +61,7 @@
     pub(super) is_undelayed: bool,
 }
 
-/// An attempt or a load order as a worker has received it.
+/// An attempt or a load order, as a worker received it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Dispatch {
     pub(super) worker: usize,
@@ -69,32 +69,33 @@
     pub(super) is_undelayed: bool,
 }
 
-/// The time for which the endpoint list has a worker as draining or deleted.
+/// The period in which the endpoint list has a worker as draining or deleted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     pub(super) started_at: Duration,
-    /// When the next process at its address was ready.
+    /// When the next process at the worker's address was ready; `None` if that has not happened.
     pub(super) ready_at: Option<Duration>,
 }
 
-/// The start or the end of a fault that delays updates of the endpoint list.
+/// The start or the end of a fault that delays endpoint updates.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointUpdateFault {
     pub(super) at: Duration,
     pub(super) phase: FaultPhase,
 }
 
-/// A time in which the discovery service is out of reach.
+/// A period in which the discovery service is unreachable.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Outage {
     pub(super) started_at: Duration,
-    /// When the last fault ended so far.
+    /// The latest end of a fault of the outage, or the start of the outage if no fault has ended.
     last_fault_ended_at: Duration,
+    /// The number of the outage's faults that are active.
     active_faults: usize,
 }
 
 impl Outage {
-    /// Whether it had begun by then and had not ended, or not for longer than `span`.
+    /// Returns whether the outage had begun at `at` and had not ended more than `span` earlier.
     pub(super) fn includes(&self, at: Duration, span: Duration) -> bool {
         let has_ended = self.active_faults == 0 && at > self.last_fault_ended_at + span;
         self.started_at <= at && !has_ended
@@ -102,6 +103,7 @@
 }
 
 impl RunHistory {
+    /// Groups the records of a run, which are in chronological order.
     pub(super) fn from_records(records: &[Record]) -> RunHistory {
         let mut history = RunHistory::default();
         for record in records {
@@ -110,7 +112,7 @@
         history
     }
 
-    /// All requests, in the order of their ids.
+    /// Returns all requests, in the order of their ids.
     pub(super) fn requests(&self) -> impl Iterator<Item = &RequestHistory> {
         self.requests.values()
     }
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Faults that overlap make one outage.
+    /// Adds the start or the end of an outage fault. Faults that overlap form one outage.
     fn add_outage_fault(&mut self, at: Duration, phase: FaultPhase) {
         let present = self.outages.last_mut().filter(|outage| outage.active_faults > 0);
         match (present, phase) {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// Adds a record of this request.
+    /// Adds a record that concerns this request.
     fn add(&mut self, record: &Record) {
         let at = record.at;
         match record.event {
@@ -250,14 +252,14 @@
         }
     }
 
-    /// Its class, if it was sent.
+    /// Returns the class of the request, if the request was sent.
     pub(super) fn class(&self) -> Option<RequestClass> {
         self.sent.map(|sent| sent.class)
     }
 }
 
 impl SentRequest {
-    /// When its timeout has passed.
+    /// Returns the time at which the request's timeout passes.
     pub(super) fn deadline(&self) -> Duration {
         self.at + self.timeout
     }
--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -1,12 +1,12 @@
-//! The oracle: it decides from the records of a run which invariants the schedulers have violated.
+//! The test oracle, which decides from the records of a run which invariants the schedulers have violated.
 //!
-//! It owns the invariants and their tolerances, one invariant in each module. It depends on what the pages
-//! promise and on what was observed from outside, and on nothing of the schedulers' code. It keeps no state
-//! between runs.
+//! It defines the invariants and their tolerances, one invariant in each module. It depends only on the
+//! guarantees in the pages and on what was observed from outside, not on the schedulers' code. It keeps no
+//! state between runs.
 //!
-//! [`check`] orders the records by what they are about ([`history`]), and then checks each request, each
-//! worker and each process. [`check_recovery`] needs a run whose clients go on after the last fault, and is
-//! therefore separate.
+//! [`check`] groups the records by what they concern ([`history`]) and then checks each request, each worker
+//! and each process. [`check_recovery`] is separate because it needs a run whose clients go on after the last
+//! fault.
 
 mod attempt_limit;
 mod cancellation;
@@ -35,10 +35,10 @@
 use history::{RequestHistory, RunHistory};
 use std::time::Duration;
 
-/// Every time limit is this much longer on sockets (page PROTOCOL).
+/// The tolerance that is added to every time limit that is observed on sockets (page PROTOCOL).
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What an invariant of a request is checked against, beside the request itself.
+/// The data of a run, beside the request itself, that the check of a request uses.
 struct Context<'a> {
     history: &'a RunHistory,
     timer_lag: &'a TimerLag,
@@ -46,11 +46,11 @@
     ended_at: Duration,
 }
 
-/// Checks an invariant of one request.
+/// A function that checks one invariant of one request.
 type RequestCheck = fn(&RequestHistory, &Context) -> Option<Violation>;
 
-/// The checks of a request. Of each group only the first violation counts, since the other checks of the
-/// group assume that the earlier invariants hold.
+/// The checks of a request, in groups. Only the first violation of each group counts, because the later
+/// checks of a group assume that the earlier invariants hold.
 const REQUEST_CHECKS: [&[RequestCheck]; 4] = [
     &[
         single_response::check,
@@ -64,7 +64,7 @@
     &[time_limit::check],
 ];
 
-/// The violations of a run that ended at `ended_at`, in the order of their times.
+/// Returns the violations of a run that ended at `ended_at`, in chronological order.
 pub(crate) fn check(records: &[Record], ended_at: Duration, timer_lag: &TimerLag) -> Vec<Violation> {
     let history = RunHistory::from_records(records);
     let context = Context {
--- a/crates/fault-soak/src/invariants/outage_service.rs
+++ b/crates/fault-soak/src/invariants/outage_service.rs
@@ -1,22 +1,25 @@
-//! Service while the discovery service is out of reach: no invariant, but worth a look in the report.
+//! Statistics of the requests that are sent while the discovery service is unreachable.
+//!
+//! They are part of the report; no invariant depends on them.
 
 use super::history::RunHistory;
 use crate::recorder::Record;
 use crate::request::ResponseStatus;
 use std::time::Duration;
 
-/// From this time in an outage on, the endpoint list alone does not admit new work: 4 s and the grace period
-/// (page PROTOCOL).
+/// The time since the start of an outage after which the endpoint list alone does not permit new work: 4 s
+/// and the grace period (page PROTOCOL).
 const LIST_STALE_AFTER: Duration = Duration::from_millis(4_500);
 
-/// Requests sent late in outages.
+/// Counts of the requests that were sent late in outages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutageService {
     pub(crate) sent: usize,
     pub(crate) served: usize,
 }
 
-/// Counts the requests of a run that were sent while the endpoint list was too old to go by.
+/// Counts the requests of a run that were sent while the endpoint list was stale, and how many of them were
+/// served.
 pub(crate) fn count(records: &[Record]) -> OutageService {
     let history = RunHistory::from_records(records);
     let mut service = OutageService::default();
--- a/crates/fault-soak/src/invariants/process_exit.rs
+++ b/crates/fault-soak/src/invariants/process_exit.rs
@@ -1,4 +1,4 @@
-//! C1, C2: a process exits on request only, and with success. A killed process may exit in any way.
+//! C1, C2: a process exits only when requested, and with success. A killed process may exit in any way.
 
 use super::{Invariant, Violation};
 use crate::recorder::{Event, ProcessEvent, Record};
--- a/crates/fault-soak/src/invariants/process_health.rs
+++ b/crates/fault-soak/src/invariants/process_health.rs
@@ -1,4 +1,5 @@
-//! A process is ready and gone in time, holds little at rest, and reports no violation itself.
+//! A process becomes ready and exits in time, holds few resources while idle, and reports no violation
+//! itself.
 
 use super::{Invariant, Violation};
 use crate::recorder::{Event, ProcessEvent, Record};
--- a/crates/fault-soak/src/invariants/recovery.rs
+++ b/crates/fault-soak/src/invariants/recovery.rs
@@ -1,4 +1,4 @@
-//! Service comes back after the last fault.
+//! The service recovers after the last fault.
 
 use super::{Invariant, Violation};
 use crate::recorder::{Event, Record};
@@ -6,14 +6,14 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// Service is measured for this time before the clients stop.
+/// The length of the period before the clients stop in which requests are evaluated.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(2_000);
-/// The fraction of the requests, 0 to 1, that has to be served.
+/// The minimum fraction of the requests that must be served, from 0 to 1.
 const MIN_SERVED_FRACTION: f64 = 0.5;
-/// The requests that have to be sent: with fewer, the fraction says nothing.
+/// The minimum number of requests that must be sent; with fewer, the fraction is not meaningful.
 const MIN_REQUESTS: usize = 20;
 
-/// Checks the last requests of a run whose clients stopped at `clients_stopped_at`.
+/// Checks that enough of the last requests before `clients_stopped_at` were served.
 pub(crate) fn check(records: &[Record], clients_stopped_at: Duration) -> Option<Violation> {
     let window_start = clients_stopped_at.saturating_sub(RECOVERY_WINDOW);
     let mut sent = HashSet::new();
--- a/crates/fault-soak/src/invariants/response_body.rs
+++ b/crates/fault-soak/src/invariants/response_body.rs
@@ -1,4 +1,4 @@
-//! A5: a served response has the body of a worker that has executed the request.
+//! A5: a served response carries the body of a worker that executed the request.
 
 use super::history::RequestHistory;
 use super::{Context, Invariant, Violation};
--- a/crates/fault-soak/src/invariants/response_deadline.rs
+++ b/crates/fault-soak/src/invariants/response_deadline.rs
@@ -4,7 +4,7 @@
 use super::{Context, Invariant, SOCKET_TOLERANCE, Violation};
 use std::time::Duration;
 
-/// A response that comes later than this after its request's deadline counts as lost (page STANDING).
+/// How long after its request's deadline a response may arrive before it counts as lost (page STANDING).
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(500);
 
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
@@ -22,7 +22,7 @@
     ))
 }
 
-/// The latest time of the final response, as seen by the client.
+/// Returns the latest permitted time of the final response, as seen by the client.
 pub(super) fn due_at(sent: &SentRequest, context: &Context) -> Duration {
     let due_at = sent.deadline() + LATENESS_TOLERANCE + SOCKET_TOLERANCE;
     due_at + context.timer_lag.max_near(due_at)
--- a/crates/fault-soak/src/invariants/retry_safety.rs
+++ b/crates/fault-soak/src/invariants/retry_safety.rs
@@ -1,11 +1,11 @@
-//! B1: a request that may have been executed is neither retried nor rejected, unless its class permits that.
+//! B1: a request that may have been executed is neither retried nor rejected, unless its class permits it.
 
 use super::history::RequestHistory;
 use super::{Context, Invariant, SOCKET_TOLERANCE, Violation};
 use crate::environment::settings::DEDUPLICATION_WINDOW;
 use crate::request::{RequestClass, ResponseStatus};
 
-/// A rejected request that is not idempotent has not been executed.
+/// Checks that a non-idempotent request that was rejected had not been executed.
 pub(super) fn check_rejection(request: &RequestHistory, _context: &Context) -> Option<Violation> {
     let response = request.responses.first()?;
     let was_executed_before = request
@@ -21,8 +21,9 @@
     })
 }
 
-/// After the execution of a request no attempt follows that its class forbids. The class of a request that
-/// was not sent whole is unknown, and permits all.
+/// Checks that no attempt that the request's class forbids follows the execution of the request.
+///
+/// The class of a request that was not sent completely is unknown; any retry is then permitted.
 pub(super) fn check_retries(request: &RequestHistory, _context: &Context) -> Option<Violation> {
     let class = request.class()?;
     let executed = request.attempts.iter().position(|attempt| attempt.is_executed)?;
--- a/crates/fault-soak/src/invariants/single_response.rs
+++ b/crates/fault-soak/src/invariants/single_response.rs
@@ -1,4 +1,4 @@
-//! A1: a request gets one final response at most.
+//! A1: a request gets at most one final response.
 
 use super::history::RequestHistory;
 use super::{Context, Invariant, Violation};
--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the oracle: it finds each violation, and none in a correct run.
+//! Tests of the oracle, which must find each violation, and none in a correct run.
 
 use super::{Invariant, check, check_recovery};
 use crate::recorder::{DiscoveryEffect, Event, FaultPhase, HealthProblem, Incarnation, ProcessEvent, Record};
@@ -12,7 +12,7 @@
     scheduler: 0,
     generation: 1,
 };
-/// When every run of these tests ends.
+/// The end of every run in these tests.
 const END: Duration = Duration::from_secs(20);
 
 fn at(milliseconds: u64, event: Event) -> Record {
@@ -22,7 +22,7 @@
     }
 }
 
-/// A request with a timeout of one second.
+/// Returns the record of a sent request with a timeout of one second.
 fn sent_at(milliseconds: u64, request: RequestId, class: RequestClass) -> Record {
     let event = Event::RequestSent {
         request,
@@ -228,8 +228,7 @@
     assert_eq!(violated(&[process(900, unhealthy)]), [Invariant::ProcessHealth]);
 }
 
-/// What is published in an outage counts as notified 4 s after the outage began, or at once where it comes
-/// later.
+/// A change in an outage counts as notified 4 s after the outage's start, or at once if published later.
 #[test]
 fn drain_notifications_during_an_outage_count_from_the_start_of_the_outage() {
     let outage_fault = |milliseconds, phase| {
@@ -241,7 +240,7 @@
         };
         at(milliseconds, event)
     };
-    // Two faults that overlap are one outage, from 1.0 s to 11.0 s.
+    // Two overlapping faults form one outage, from 1.0 s to 11.0 s.
     let started = outage_fault(1_000, FaultPhase::Started);
     let started_again = outage_fault(2_000, FaultPhase::Started);
     let ended_once = outage_fault(3_000, FaultPhase::Ended);
--- a/crates/fault-soak/src/invariants/time_limit.rs
+++ b/crates/fault-soak/src/invariants/time_limit.rs
@@ -1,10 +1,11 @@
-//! B3: a worker is given no more time than the client has left.
+//! B3: the time limit that a worker is given does not exceed the client's remaining time.
 
 use super::history::RequestHistory;
 use super::{Context, Invariant, Violation};
 use std::time::Duration;
 
-/// A time limit may be this much longer (terms of 2026-12-02).
+/// The time by which a time limit may exceed the client's remaining time (the operators' terms of
+/// 2026-12-02).
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(150);
 
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
--- a/crates/fault-soak/src/invariants/violation.rs
+++ b/crates/fault-soak/src/invariants/violation.rs
@@ -1,4 +1,4 @@
-//! Invariants and their violations.
+//! The invariants and their violations.
 
 use crate::request::RequestId;
 use std::time::Duration;
@@ -10,26 +10,27 @@
     FinalResponse,
     /// A1: a final response comes in time.
     ResponseDeadline,
-    /// A1: a request gets one final response at most.
+    /// A1: a request gets at most one final response.
     SingleResponse,
-    /// A5: a served response has the body of a worker that has executed the request.
+    /// A5: a served response carries the body of a worker that executed the request.
     ResponseBody,
     /// B1: a request that may have been executed is neither retried nor rejected, unless its class permits
-    /// that.
+    /// it.
     RetrySafety,
     /// B2: no attempt starts after the client has abandoned the request.
     Cancellation,
-    /// B3: a worker is given no more time than the client has left.
+    /// B3: the time limit that a worker is given does not exceed the client's remaining time.
     TimeLimit,
     /// B4: a request has a limited number of attempts.
     AttemptLimit,
-    /// B5: a draining worker gets no new work.
+    /// B5: a draining worker gets no new attempts or load orders.
     Draining,
-    /// C1, C2: a process exits on request only, and with success.
+    /// C1, C2: a process exits only when requested, and with success.
     ProcessExit,
-    /// A process is ready and gone in time, holds little at rest, and reports no violation itself.
+    /// A process becomes ready and exits in time, holds few resources while idle, and reports no violation
+    /// itself.
     ProcessHealth,
-    /// Service comes back after the last fault.
+    /// The service recovers after the last fault.
     Recovery,
 }
 
@@ -38,13 +39,13 @@
 pub(crate) struct Violation {
     pub(crate) invariant: Invariant,
     pub(crate) at: Duration,
-    /// The request that it is about, if it is about one.
+    /// The request that the violation concerns, if it concerns a single one.
     pub(crate) request: Option<RequestId>,
     pub(crate) details: String,
 }
 
 impl Violation {
-    /// A violation that is not about one request.
+    /// Creates a violation that does not concern a single request.
     pub(super) fn new(invariant: Invariant, at: Duration, details: String) -> Violation {
         Violation {
             invariant,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// A violation that is about a request.
+    /// Creates a violation that concerns a request.
     pub(super) fn of_request(
         invariant: Invariant,
         request: RequestId,
