--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the faults of a seed that start in groups within `length`, in the order of their starts.
+/// Returns the faults of a seed whose groups start within `length`, in the order of their starts.
 ///
 /// They are of the given kinds, or of all kinds if `kinds` is empty.
 pub(crate) fn schedule(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
--- a/crates/fault-soak/src/faults/scheduler_process.rs
+++ b/crates/fault-soak/src/faults/scheduler_process.rs
@@ -102,12 +102,12 @@
     set_slot_during(scheduler, fault, Slot::WALL_CLOCK_OFFSET, nanoseconds).await;
 }
 
-/// Makes some reads and writes short.
+/// Injects short reads and writes.
 pub(super) async fn shorten_io(scheduler: &Scheduler, fault: &PlannedFault) {
     set_slot_during(scheduler, fault, Slot::SHORT_IO_RATE, SHORT_IO_PER_MILLE).await;
 }
 
-/// Makes the system call that the fault's variant selects fail.
+/// Injects failures into the system call that the fault's variant selects.
 pub(super) async fn fail_system_call(scheduler: &Scheduler, fault: &PlannedFault) {
     let failure = SystemCallFailure::of_variant(fault.variant);
     let rate = i64::from(failure.rate_per_mille);
