--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler as a program: reads its configuration and serves until a signal ends it.
+//! The scheduler as a program: reads its configuration and serves until a signal stops it.
 #![forbid(unsafe_code)]
 
 use function_scheduler::config::{ConfigError, ConfigSources};
@@ -10,33 +10,33 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// The environment variable that names the platform's configuration file.
+/// Environment variable that holds the path of the platform's configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// The option that names the operator's file.
+/// Command-line option for the path of the operator's file.
 const OPERATOR_OPTION: &str = "--operator";
 
-/// Why the program ends with [`ExitCode::FAILURE`].
+/// The reason for exiting with [`ExitCode::FAILURE`].
 #[derive(Debug, Error)]
 enum StartError {
-    /// The arguments are neither none nor the option with its value.
+    /// The arguments are invalid.
     #[error("usage: function-scheduler [{OPERATOR_OPTION} FILE]")]
     Usage,
-    /// The environment variable is not set.
-    #[error("{CONFIG_VARIABLE} names no configuration")]
+    /// The environment variable with the path of the configuration is not set.
+    #[error("environment variable {CONFIG_VARIABLE} is not set")]
     NoConfiguration,
-    /// A configuration file cannot be used.
+    /// A configuration file is unreadable or invalid.
     #[error(transparent)]
     Configuration(ConfigError),
-    /// The handlers of signals cannot be installed.
+    /// The signal handlers cannot be installed.
     #[error("cannot serve: {0}")]
     SignalHandlers(io::Error),
-    /// The server did not start, or ended with an error.
+    /// The server failed to start or stopped with an error.
     #[error("cannot serve: {0}")]
     Serve(ServerError),
 }
 
 fn main() -> ExitCode {
-    // Before anything else, so that a signal that comes early is not lost.
+    // The handlers are installed before anything else, so that no early signal is lost.
     let signals = Signals::install().map_err(StartError::SignalHandlers);
     let _log = Log::open();
     match signals.and_then(|signals| start(&signals)) {
@@ -56,7 +56,7 @@
     })
 }
 
-/// The configuration files that the command line and the environment name.
+/// Returns the paths of the configuration files from the command line and the environment.
 fn config_sources() -> Result<ConfigSources, StartError> {
     let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
     let operator_file = parse_arguments(&arguments)?;
@@ -67,7 +67,7 @@
     })
 }
 
-/// Parses the arguments after the program's name: the operator's file, if they name one.
+/// Parses the arguments after the program name. Returns the path of the operator's file, if given.
 fn parse_arguments(arguments: &[OsString]) -> Result<Option<PathBuf>, StartError> {
     match arguments {
         [] => Ok(None),
--- a/tests/start.rs
+++ b/tests/start.rs
@@ -1,8 +1,8 @@
-//! What the program says when it does not start.
+//! Tests of the error messages of a failed start.
 
 use std::process::{Command, Stdio};
 
-/// The program's standard error when it is started with these arguments and this configuration file.
+/// Runs the program with these arguments and this configuration path, and returns its standard error.
 fn start(arguments: &[&str], configuration: Option<&str>) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_function-scheduler"));
     command
@@ -35,7 +35,7 @@
     }
     assert_eq!(
         start(&[], None),
-        "function-scheduler: GW_CONFIG names no configuration\n"
+        "function-scheduler: environment variable GW_CONFIG is not set\n"
     );
     let expected = format!("function-scheduler: configuration: cannot read /nowhere/c.json: {NOT_FOUND}\n");
     assert_eq!(start(&[], Some("/nowhere/c.json")), expected);
