--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! What the reactor asks of a connection, and what a connection may use while it is called back.
+//! The interface between the reactor and its connections.
 
 use super::BufferedStream;
 use crate::model::Time;
@@ -6,19 +6,19 @@
 use std::io;
 use thiserror::Error;
 
-/// Whether a connection goes on after a callback.
+/// How a connection proceeds after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionFlow {
-    /// It goes on.
+    /// The connection stays open.
     Continue,
-    /// Nothing more is read; it closes once its output has been written.
+    /// Nothing more is read, and the connection closes once its output has been written.
     Finish,
-    /// It closes now; output that is not yet written is lost.
+    /// The connection closes immediately, and unwritten output is lost.
     Close,
 }
 
 impl ConnectionFlow {
-    /// The stricter of the two.
+    /// Returns the stricter of the two.
     pub fn and(self, other: ConnectionFlow) -> ConnectionFlow {
         match (self, other) {
             (ConnectionFlow::Close, _) | (_, ConnectionFlow::Close) => ConnectionFlow::Close,
@@ -28,106 +28,107 @@
     }
 }
 
-/// Why a connection is closed.
+/// The reason for closing a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CloseCause {
     /// The peer has closed its half.
     #[error("peer closed")]
     PeerClosed,
-    /// Connecting, reading or writing failed.
+    /// A connect, read or write failed.
     #[error("{0}")]
     Failed(io::ErrorKind),
-    /// The connection asked for it: it was idle for too long, or what was to be written is written.
+    /// The connection closed itself: it was idle for too long, or its output is complete.
     #[error("done")]
     Done,
-    /// Its descriptor is needed.
+    /// The connection's descriptor is needed.
     #[error("descriptor needed")]
     DescriptorNeeded,
-    /// The server has no more use for it.
+    /// The server no longer needs the connection.
     #[error("not needed")]
     NotNeeded,
-    /// The output that waits must not go out any more.
-    #[error("output lapsed")]
+    /// The unsent output must not be sent any more.
+    #[error("output expired")]
     OutputExpired,
     /// The peer leaves too much output unread.
-    #[error("output unread")]
+    #[error("output limit exceeded")]
     OutputLimitExceeded,
 }
 
 impl CloseCause {
-    /// Whether the peer ended the connection, or the network between did, and not this process.
+    /// Returns whether the peer or the network, rather than this process, ended the connection.
     pub fn is_remote(self) -> bool {
         matches!(self, CloseCause::PeerClosed | CloseCause::Failed(_))
     }
 }
 
-/// The state that all connections of a reactor share, as far as the reactor itself reports to it.
+/// State shared by all connections of a reactor, to which the reactor reports its own faults.
 pub trait SharedState {
-    /// A panic was caught in a callback of a connection.
+    /// Reports that a panic was caught in a callback of a connection.
     fn panic_caught(&mut self);
 
-    /// The system refused to report a connection's events; it is asked again.
+    /// Reports that registering a connection for its events failed; the reactor retries the registration.
     fn registration_failed(&mut self);
 }
 
-/// What a callback may use.
+/// The state and times that a callback may use.
 pub struct Context<'a, S> {
     /// The state that all connections share.
     pub shared: &'a mut S,
-    /// The present time.
+    /// The current time.
     pub now: Time,
-    /// No input that is read in this call came before this time. It is before `now` where the process was busy or
-    /// stopped, or where a client had to wait to be accepted: a request's time runs from when it came.
+    /// Earliest time at which the input of this call may have arrived, from which a request's time counts.
+    /// It is before `now` if the process was busy or stopped, or if the client had to wait to be accepted.
     pub earliest_input_at: Time,
 }
 
-/// A connection that the reactor calls back with what happens to its stream.
+/// A connection, which the reactor calls back when something happens to its stream.
 ///
-/// `Any` lets the code that added a connection of one type get at it again by that type, with
-/// [`Reactor::connection`](super::Reactor::connection).
+/// The supertrait `Any` lets code that added a connection of a concrete type access it again as that type,
+/// with [`Reactor::connection`](super::Reactor::connection).
 pub trait Connection<S>: Any {
-    /// The stream is connected.
+    /// Handles that the stream has been connected.
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
-    /// There is new input in the stream's buffer, or the peer has closed its half.
+    /// Handles new input in the stream's buffer, or that the peer has closed its half.
     fn received(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
-    /// Whether output that the system did not take at once may still go out. If not, the connection is closed.
+    /// Returns whether output that the system did not accept immediately may still be sent. If not, the
+    /// connection is closed.
     fn may_write_remaining(&self, _context: &mut Context<S>) -> bool {
         true
     }
 
-    /// All output has been handed to the system.
+    /// Handles that all output has been passed to the system.
     fn flushed(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    /// The time given by [`Connection::deadline`] has come.
+    /// Handles that the time returned by [`Connection::deadline`] has passed.
     fn timer_expired(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    /// When to call [`Connection::timer_expired`]; asked after every callback.
+    /// Returns the time at which to call [`Connection::timer_expired`]. Called after every callback.
     fn deadline(&self) -> Option<Time> {
         None
     }
 
-    /// The connection has been closed, by whichever side. Called once.
+    /// Handles that the connection has been closed by either side. Called once.
     fn closed(&mut self, socket: &BufferedStream, cause: CloseCause, context: &mut Context<S>);
 
-    /// Since when no request is open on the connection, so that it may be closed to free its descriptor; none
-    /// while one is open.
+    /// Returns the time since which the connection has had no open request, so that it may be closed to free
+    /// its descriptor, or `None` if a request is open.
     fn idle_since(&self) -> Option<Time> {
         None
     }
 
-    /// Whether a client is at the other end. Asked once, when the connection is added.
+    /// Returns whether the peer is a client. Called once, when the connection is added.
     fn is_client(&self) -> bool {
         false
     }
 
-    /// Fails every request that is open on the connection, because the connection can't go on: a callback has
-    /// panicked. A request that was read must not end with its connection.
+    /// Fails all open requests of the connection after one of its callbacks has panicked, so that requests
+    /// that were read still get a response before the connection closes.
     fn fail_open_requests(
         &mut self,
         _socket: &mut BufferedStream,
