--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -1,5 +1,4 @@
-//! A connection as the reactor keeps it: its stream, the object that is called back, and how far its end has
-//! come.
+//! A connection as managed by the reactor: its stream, its callbacks and the state of its closing.
 
 use crate::model::{Span, Time};
 use crate::net::{BufferedStream, CloseCause, Connection, ConnectionFlow, Context, SharedState};
@@ -8,34 +7,35 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use tracing::{debug, error};
 
-/// Bytes read from one connection in one turn. A peer that sends at full speed must not keep the others
-/// waiting.
+/// Number of bytes read from a connection after which reading pauses until its next event, so that a peer
+/// that sends at full speed does not block the other connections.
 const MAX_READ_BYTES_PER_EVENT: usize = 256 << 10;
-/// Bytes that are still read, and discarded, from a connection that is closing. A peer that goes on beyond
-/// them is cut off, so that it doesn't keep the processor busy.
+/// Maximum number of bytes that are read and discarded from a closing connection. A peer that sends more is
+/// disconnected, so that it does not keep the processor busy.
 const MAX_DISCARDED_INPUT_BYTES: usize = 1 << 20;
-/// Pause before the system is asked once more to report a connection's events, after it has refused.
+/// Delay before a failed registration for a connection's events is retried.
 const REGISTRATION_RETRY_DELAY: Span = Span::from_millis(20);
 
 /// A connection of the reactor.
 pub(super) struct ManagedConnection<S> {
     pub(super) stream: BufferedStream,
     pub(super) connection: Box<dyn Connection<S>>,
-    /// Since when the input that is being read may have waited, if that is longer than the last poll says.
+    /// Earliest time at which the input that is being read may have arrived, if that is before the reactor's
+    /// estimate.
     pub(super) earliest_input_at: Option<Time>,
-    /// A client is at the other end.
+    /// Whether the peer is a client.
     pub(super) is_client: bool,
-    /// The time that the connection's timer is set to.
+    /// Time to which the connection's timer is set.
     pub(super) timer: Option<Time>,
-    /// The connection closes once its output has been written.
+    /// Whether the connection closes once its output has been written.
     finishing: bool,
-    /// The sending half of the stream is shut down.
+    /// Whether the sending half of the stream is shut down.
     write_shut_down: bool,
-    /// Bytes read and discarded since the connection is closing.
+    /// Number of bytes read and discarded since the connection started to close.
     discarded: usize,
-    /// Why the connection is to be closed, where neither its peer nor itself has ended it.
+    /// Reason for closing the connection, unless its peer or the connection itself ended it.
     close_cause: Option<CloseCause>,
-    /// When the system is to be asked once more to report the stream's events, after it has refused.
+    /// Time at which a failed registration for the stream's events is retried.
     registration_retry_at: Option<Time>,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// When the reactor has to come back to this connection although nothing happens on it.
+    /// Returns the time at which the reactor must call the connection if no event occurs.
     pub(super) fn deadline(&self) -> Option<Time> {
         self.connection
             .deadline()
@@ -64,21 +64,21 @@
             .min()
     }
 
-    /// Since when the connection has done nothing that closing it would undo.
+    /// Returns the time since which closing the connection would lose no work.
     pub(super) fn idle_since(&self) -> Option<Time> {
         if self.write_shut_down {
-            // All that it had to say is written; it only waits for the peer to close.
+            // All output has been written; the connection only waits for the peer to close.
             return Some(Time(0));
         }
         self.connection.idle_since()
     }
 
-    /// Notes why the connection is closed; the first cause counts.
+    /// Sets the reason for closing the connection. The first reason is kept.
     pub(super) fn set_close_cause(&mut self, cause: CloseCause) {
         self.close_cause.get_or_insert(cause);
     }
 
-    /// Why the connection is closed.
+    /// Returns the reason for closing the connection.
     pub(super) fn close_cause(&self) -> CloseCause {
         self.close_cause.unwrap_or(if self.stream.input_ended {
             CloseCause::PeerClosed
@@ -87,8 +87,8 @@
         })
     }
 
-    /// Runs a callback and writes the output that it adds. A panic ends this connection alone, and not without the
-    /// responses that its client is owed.
+    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after the
+    /// responses that its client is owed have been written.
     pub(super) fn call(
         &mut self,
         context: &mut Context<S>,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Ends the connection after a panic, with what it still has to say to its client.
+    /// Closes the connection after a panic, failing its open requests.
     fn end_after_panic(&mut self, context: &mut Context<S>) -> ConnectionFlow {
         let flow = catch_unwind(AssertUnwindSafe(|| {
             let flow = self.connection.fail_open_requests(&mut self.stream, context);
@@ -114,7 +114,7 @@
         flow.unwrap_or(ConnectionFlow::Close)
     }
 
-    /// Writes the output at once; a connection may add more whenever all of it has been written.
+    /// Writes the output immediately. The connection may add more each time all of it has been written.
     fn flush_output(&mut self, mut flow: ConnectionFlow, context: &mut Context<S>) -> ConnectionFlow {
         while flow != ConnectionFlow::Close && self.stream.is_connected() && self.stream.unsent_bytes() > 0 {
             if !self.connection.may_write_remaining(context) {
@@ -133,7 +133,7 @@
         flow
     }
 
-    /// Acts on what the system has reported of the stream.
+    /// Handles an event that the system reported for the stream.
     pub(super) fn handle_event(&mut self, readable: bool, context: &mut Context<S>) -> ConnectionFlow {
         self.try_handle_event(readable, context).unwrap_or_else(|error| {
             self.set_close_cause(CloseCause::Failed(error.kind()));
@@ -141,10 +141,10 @@
         })
     }
 
-    /// Acts on a timer: first on what has come meanwhile, which the last poll may have missed, and then on the time.
+    /// Handles an expired timer, after any input that the last poll may have missed.
     ///
-    /// Whoever ends a connection for the time that has passed must not overlook a request, a response or the
-    /// completed connect that waits there.
+    /// A connection that is closed by a timer must not lose a request, a response or a completed connect
+    /// that is already waiting on its socket.
     pub(super) fn handle_timer(&mut self, context: &mut Context<S>) -> ConnectionFlow {
         let flow = self.handle_event(true, context);
         if flow != ConnectionFlow::Continue {
@@ -179,8 +179,8 @@
         self.read_input(flow, context)
     }
 
-    /// Reads until the socket is empty, as edge-triggered events ask for, in turns with the connection's own
-    /// work and with other connections.
+    /// Reads until the socket is empty, as edge-triggered events require, but pauses for the connection's
+    /// own work and for other connections.
     fn read_input(
         &mut self,
         mut flow: ConnectionFlow,
@@ -215,11 +215,11 @@
         self.stream.input.clear();
     }
 
-    /// Applies what a callback wants of the connection; true if it is to be closed now.
+    /// Applies the result of a callback. Returns true if the connection is to be closed now.
     ///
-    /// If a stream is closed while it has unread input, the system drops what the peer has not read yet. So a
-    /// connection that finishes shuts its sending half down only, and waits for the peer's end or its own
-    /// deadline.
+    /// If a stream with unread input is closed, the system discards what the peer has not read yet. A
+    /// finishing connection therefore shuts down only its sending half, and waits for the peer to close or
+    /// for its own deadline.
     pub(super) fn apply_flow(&mut self, flow: ConnectionFlow) -> bool {
         if flow == ConnectionFlow::Finish {
             self.finishing = true;
@@ -231,7 +231,7 @@
         flow == ConnectionFlow::Close || self.write_shut_down && self.stream.input_ended
     }
 
-    /// Registers for the events that the stream waits for. If the system refuses, it is asked again after a pause.
+    /// Registers the stream for the events that it needs. A failed registration is retried after a delay.
     pub(super) fn register(&mut self, registry: &Registry, context: &mut Context<S>) {
         self.registration_retry_at = match self.stream.register(registry) {
             Ok(()) => None,
@@ -240,7 +240,7 @@
                 debug!(
                     connection = self.stream.id().0,
                     cause = error.to_string(),
-                    "registration failed"
+                    "event registration failed"
                 );
                 Some(context.now + REGISTRATION_RETRY_DELAY)
             }
