--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,7 +1,8 @@
-//! The reactor: waits for events of all sockets and timers, and calls the connections back.
+//! The reactor: waits for the events of all sockets and timers, and calls connections back.
 //!
-//! This file has the reactor's state and its other sockets; `polling` waits for events, `connections` adds, calls and
-//! closes connections, `idle_connections` closes idle ones, and `managed_connection` is what the reactor keeps of one.
+//! This module holds the reactor's state and its other sockets. `polling` waits for events, `connections`
+//! adds, calls back and closes connections, `idle_connections` closes idle connections, and
+//! `managed_connection` holds the state of one connection.
 
 mod connections;
 mod idle_connections;
@@ -32,23 +33,23 @@
 use std::path::Path;
 use udp_sockets::UdpSockets;
 
-/// Events taken from the system at a time.
+/// Maximum number of events retrieved per poll.
 const EVENT_CAPACITY: usize = 1024;
 
-/// An event that the reactor leaves to its caller.
+/// An event that the reactor returns to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReactorEvent {
-    /// A client waits to be accepted at a listener.
+    /// A client is waiting to be accepted at a listener.
     ClientWaiting(ListenerId),
-    /// Something was written to a pipe.
+    /// A pipe has input.
     PipeReadable(PipeId),
     /// A UDP socket has datagrams to read.
     DatagramWaiting(UdpSocketId),
 }
 
-/// Waits for events of all sockets and timers, and calls the connections back. One thread does all of it.
+/// Waits for the events of all sockets and timers, and calls connections back, all in a single thread.
 ///
-/// It owns the state `S` that its connections share, and lends it to each callback.
+/// The reactor owns the state `S` that its connections share, and lends it to each callback.
 pub struct Reactor<S> {
     /// The state that all connections share.
     pub shared: S,
@@ -59,29 +60,29 @@
     pipes: Pipes,
     udp_sockets: UdpSockets,
     connections: HashMap<ConnectionId, ManagedConnection<S>>,
-    /// How many of the connections have a client at the other end.
+    /// Number of connections whose peer is a client.
     clients: usize,
     next_connection: ConnectionId,
-    /// At most one timer for each connection, by its id.
+    /// Timers of the connections, at most one for each.
     timers: TimerQueue<ConnectionId>,
     last_poll_was_empty: bool,
-    /// When the last poll returned: it has reported all input that had come until then.
+    /// Time at which the last poll returned. All input that arrived before has been reported.
     polled_at: Time,
-    /// What the last poll has reported did not come before this time.
+    /// Earliest time at which input reported by the last poll may have arrived.
     earliest_input_at: Time,
-    /// Bytes of output that wait to be written, on all connections together.
+    /// Number of unsent output bytes on all connections together.
     unsent_bytes: usize,
-    /// Beyond so many bytes of unsent output a connection that adds to it is closed, if its peer reads
-    /// nothing.
+    /// Limit on the unsent output of all connections together. While it is exceeded, a connection that adds
+    /// to its unsent output is closed, unless it has only a small amount.
     pub max_unsent_bytes: usize,
 }
 
 impl<S: SharedState + 'static> Reactor<S> {
-    /// A reactor without connections, with the state that they are to share.
+    /// Creates a reactor without connections that owns the given shared state.
     ///
     /// # Errors
     ///
-    /// The system's error where it has no further poll to give.
+    /// Returns the system error if the event queue cannot be created.
     pub fn new(clock: SystemClock, shared: S) -> io::Result<Reactor<S>> {
         Ok(Reactor {
             shared,
@@ -103,25 +104,26 @@
         })
     }
 
-    /// The present time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.clock.now()
     }
 
-    /// Listens on a TCP address; the address, with its port where any would do.
+    /// Listens on a TCP address. Returns the bound address, with the port that the system chose if the given
+    /// one is 0.
     ///
     /// # Errors
     ///
-    /// The system's error where the address can't be had.
+    /// Returns the system error if the address cannot be bound.
     pub fn listen_tcp(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         self.listeners.add_tcp(address, self.poll.registry())
     }
 
-    /// Listens on a Unix socket that is bound already.
+    /// Listens on a Unix socket that is already bound.
     ///
     /// # Errors
     ///
-    /// The system's error where the socket can't be polled.
+    /// Returns the system error if the socket cannot be registered.
     pub fn listen_unix(&mut self, listener: UnixListener) -> io::Result<ListenerId> {
         self.listeners.add_unix(listener, self.poll.registry())
     }
@@ -131,62 +133,64 @@
         self.listeners.close(listener, self.poll.registry());
     }
 
-    /// All listeners, closed ones included.
+    /// Returns the ids of all listeners, including closed ones.
     pub fn listener_ids(&self) -> Vec<ListenerId> {
         self.listeners.ids()
     }
 
-    /// Accepts the next client of a listener, if one waits.
+    /// Accepts the next client of a listener. Returns `None` if no client is waiting.
     ///
     /// # Errors
     ///
-    /// The system's error, most likely for want of descriptors; the client may still wait.
+    /// Returns the system error, most likely for lack of descriptors. The client may still be waiting.
     pub fn accept(&mut self, listener: ListenerId) -> io::Result<Option<Stream>> {
         self.listeners.accept(listener)
     }
 
-    /// Watches the reading end of a pipe.
+    /// Watches the reading end of a pipe for input.
     ///
     /// # Errors
     ///
-    /// The system's error where the pipe can't be polled.
+    /// Returns the system error if the pipe cannot be registered.
     pub fn watch_pipe(&mut self, pipe: UnixStream) -> io::Result<PipeId> {
         self.pipes.add(pipe, self.poll.registry())
     }
 
-    /// Binds a UDP socket; its id, and the address with its port.
+    /// Binds a UDP socket. Returns its id and the bound address with its port.
     ///
     /// # Errors
     ///
-    /// The system's error where the address can't be had.
+    /// Returns the system error if the address cannot be bound.
     pub fn bind_udp(&mut self, address: SocketAddr) -> io::Result<(UdpSocketId, SocketAddr)> {
         self.udp_sockets.bind(address, self.poll.registry())
     }
 
-    /// Reads the next datagram of a socket, if there is one; its size in bytes and its sender.
+    /// Reads the next datagram of a socket. Returns its size in bytes and its sender, or `None` if there is
+    /// none.
     pub fn receive_datagram(&self, socket: UdpSocketId, buffer: &mut [u8]) -> Option<(usize, SocketAddr)> {
         self.udp_sockets.receive(socket, buffer)
     }
 
-    /// Sends a datagram; what the system does not take is lost, as datagrams may be.
+    /// Sends a datagram. A datagram that the system does not accept is dropped, since UDP does not guarantee
+    /// delivery.
     pub fn send_datagram(&self, socket: UdpSocketId, bytes: &[u8], to: SocketAddr) {
         self.udp_sockets.send(socket, bytes, to);
     }
 
-    /// Begins a TCP connection.
+    /// Starts a TCP connection.
     ///
     /// # Errors
     ///
-    /// The system's error where the connect fails at once.
+    /// Returns the system error if the connect fails immediately.
     pub fn connect(&self, address: SocketAddr) -> io::Result<Stream> {
         Stream::connect_tcp(address)
     }
 
-    /// Begins a connection to a Unix socket.
+    /// Starts a connection to a Unix socket.
     ///
     /// # Errors
     ///
-    /// The system's error where the connect fails at once.
+    /// Returns the system error if the connect fails immediately.
     pub fn connect_unix(&self, path: &Path) -> io::Result<Stream> {
         Stream::connect_unix(path)
     }
