--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -1,4 +1,4 @@
-//! The reactor's connections: adding, calling and closing them.
+//! Adds, calls back and closes the reactor's connections.
 
 use super::Reactor;
 use super::managed_connection::ManagedConnection;
@@ -10,11 +10,11 @@
 use std::any::Any;
 use tracing::debug;
 
-/// Bytes of unsent output that a connection may always have, however much all of them have together.
+/// Number of unsent bytes that every connection may have regardless of the total of all connections.
 const GUARANTEED_UNSENT_BYTES: usize = 64 << 10;
 
 impl<S: SharedState + 'static> Reactor<S> {
-    /// Adds a connection whose stream is connected; its id, or none where it closed at once.
+    /// Adds a connection whose stream is connected. Returns its id, or `None` if it closed immediately.
     pub fn add_connected(
         &mut self,
         stream: Stream,
@@ -24,7 +24,8 @@
         self.add(stream, connection, true, limits)
     }
 
-    /// Adds a connection whose stream is still connecting; its id, or none where it closed at once.
+    /// Adds a connection whose stream is still connecting. Returns its id, or `None` if it closed
+    /// immediately.
     pub fn add_connecting(
         &mut self,
         stream: Stream,
@@ -48,7 +49,7 @@
         let managed = ManagedConnection::new(stream, connection);
         self.clients += usize::from(managed.is_client);
         self.connections.insert(id, managed);
-        // Registers the stream also where there is nothing to call back with yet.
+        // The call also registers the stream when there is no callback to run yet.
         self.call(id, |managed, context| {
             if connected {
                 managed.connection.opened(&mut managed.stream, context)
@@ -59,7 +60,7 @@
         self.has_connection(id).then_some(id)
     }
 
-    /// Reads what is there on a connection, which may have waited since this time.
+    /// Reads the available input of a connection, which may have been waiting since the given time.
     pub fn read_waiting_input(&mut self, id: ConnectionId, since: Time) {
         self.set_earliest_input_at(id, Some(since));
         self.call(id, |managed, context| managed.handle_event(true, context));
@@ -72,33 +73,34 @@
         }
     }
 
-    /// How many connections are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// How many of the connections have a client at the other end.
+    /// Returns the number of connections whose peer is a client.
     pub fn client_count(&self) -> usize {
         self.clients
     }
 
-    /// The ids of all connections, in no order.
+    /// Returns the ids of all connections in arbitrary order.
     pub fn connection_ids(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().collect()
     }
 
-    /// Whether a connection is open or being opened.
+    /// Returns whether a connection is open or being opened.
     pub fn has_connection(&self, id: ConnectionId) -> bool {
         self.connections.contains_key(&id)
     }
 
-    /// The connection of this id, if it was added as a `C` and is not closed.
+    /// Returns the connection with this id if it is of type `C` and not closed.
     pub fn connection<C: Connection<S>>(&self, id: ConnectionId) -> Option<&C> {
         let connection: &dyn Any = self.connections.get(&id)?.connection.as_ref();
         connection.downcast_ref()
     }
 
-    /// Calls a connection, as the reactor itself does with an event; false if it is closed.
+    /// Runs a callback on a connection like the reactor does for an event. Returns false if the connection
+    /// is closed.
     pub fn with_connection(
         &mut self,
         id: ConnectionId,
@@ -111,8 +113,8 @@
         found
     }
 
-    /// Like [`Reactor::with_connection`], for a connection that was added as a `C`; false also for another
-    /// type.
+    /// Runs a callback on a connection of type `C`, like [`Reactor::with_connection`]. Returns false if the
+    /// connection is closed or of another type.
     pub fn with_connection_of<C: Connection<S>>(
         &mut self,
         id: ConnectionId,
@@ -130,7 +132,7 @@
         found
     }
 
-    /// Closes a connection for this cause.
+    /// Closes a connection for the given cause.
     pub fn close_connection(&mut self, id: ConnectionId, cause: CloseCause) {
         if let Some(managed) = self.connections.get_mut(&id) {
             managed.set_close_cause(cause);
@@ -138,7 +140,7 @@
         self.remove_connection(id);
     }
 
-    /// Drops a connection, which knows the cause.
+    /// Removes a connection whose close cause is already set.
     fn remove_connection(&mut self, id: ConnectionId) {
         let Some(mut managed) = self.connections.remove(&id) else {
             return;
@@ -155,7 +157,7 @@
         managed.stream.deregister(self.poll.registry());
     }
 
-    /// Whether any connection still has output to write.
+    /// Returns whether any connected connection has unsent output.
     pub fn has_unsent_output(&self) -> bool {
         self.connections
             .values()
@@ -170,7 +172,8 @@
         }
     }
 
-    /// Calls a connection back, and closes it or sets its timer as it wants.
+    /// Runs a callback on a connection, then closes the connection or updates its timer as the callback
+    /// requires.
     pub(super) fn call(
         &mut self,
         id: ConnectionId,
@@ -191,7 +194,7 @@
         let mut flow = managed.call(&mut context, callback);
         let unsent_bytes = managed.stream.unsent_bytes();
         self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
-        // Memory is bounded, and so is how much of it peers that don't read may use.
+        // Bounds the memory that peers that do not read their input can use.
         let grew = unsent_bytes > unsent_before && unsent_bytes > GUARANTEED_UNSENT_BYTES;
         if grew && self.unsent_bytes > self.max_unsent_bytes {
             managed.set_close_cause(CloseCause::OutputLimitExceeded);
--- a/src/net/reactor/idle_connections.rs
+++ b/src/net/reactor/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections, of which the reactor closes some to free their descriptors.
+//! Idle connections, which the reactor can close to free their descriptors.
 
 use super::Reactor;
 use super::managed_connection::ManagedConnection;
@@ -6,18 +6,20 @@
 use crate::net::{CloseCause, SharedState};
 
 impl<S: SharedState + 'static> Reactor<S> {
-    /// Since when a connection has been idle; see [`Connection::idle_since`](crate::net::Connection::idle_since).
+    /// Returns the time since which a connection has been idle; see
+    /// [`Connection::idle_since`](crate::net::Connection::idle_since).
     pub fn idle_since(&self, id: ConnectionId) -> Option<Time> {
         self.connections.get(&id)?.idle_since()
     }
 
-    /// Closes the connection that has been idle for longest, as the least likely to be used again; false if
-    /// none is idle.
+    /// Closes the connection that has been idle for longest, because it is the least likely to be used
+    /// again. Returns false if none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
         self.close_longest_idle_of(|_| true)
     }
 
-    /// The same among the connections at whose other end is no client.
+    /// Closes the connection that has been idle for longest among those whose peer is not a client. Returns
+    /// false if none is idle.
     pub fn close_longest_idle_outgoing(&mut self) -> bool {
         self.close_longest_idle_of(|managed| !managed.is_client)
     }
@@ -30,8 +32,8 @@
         idle.into_iter().any(|(_, id)| self.close_if_idle(id))
     }
 
-    /// Closes a connection to free its descriptor, unless something has come on it that no poll has reported yet;
-    /// whether it is closed.
+    /// Closes a connection to free its descriptor, unless input that no poll has reported yet makes it busy.
+    /// Returns whether the connection is closed.
     pub fn close_if_idle(&mut self, id: ConnectionId) -> bool {
         self.call(id, |managed, context| managed.handle_event(true, context));
         let is_busy = |managed: &ManagedConnection<S>| managed.idle_since().is_none();
