--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -1,4 +1,4 @@
-//! The reactor's turn: waits for events and timers, and hands each to its connection or to the caller.
+//! Waits for events and timers, and passes each to its connection or to the caller.
 
 use super::managed_connection::ManagedConnection;
 use super::token::EventSource;
@@ -8,34 +8,36 @@
 use std::io;
 use std::time::Duration;
 
-/// Interruptions in a row after which a wait ends, so that timers and requests are not delayed further.
+/// Number of consecutive interruptions after which a wait ends, so that timers and requests are not delayed
+/// further.
 const MAX_INTERRUPTIONS: u32 = 8;
-/// A poll that returns within this time has not waited.
+/// Duration below which a poll counts as having returned without waiting.
 const IMMEDIATE_RETURN_THRESHOLD: Span = Span::from_millis(1);
-/// A poll that returns this much later than its timeout was not scheduled by the system.
+/// Delay of a poll's return after its timeout above which the process counts as not having been scheduled.
 const LATE_WAKEUP_THRESHOLD: Span = Span::from_millis(10);
-/// Added to the wait for a timer, so that the system, which rounds, doesn't end it a little early again and
-/// again.
+/// Time added to the wait for a timer, so that the system's rounding does not repeatedly end the wait
+/// slightly too early.
 const TIMER_ROUNDING: Span = Span(50_000);
 
-/// What the system has reported of a source.
+/// An event source and what the system reported for it.
 struct ReadySource {
     source: EventSource,
-    /// There is input, an end or an error to read.
+    /// Whether there is input, an end of stream or an error to read.
     readable: bool,
 }
 
 impl<S: SharedState + 'static> Reactor<S> {
-    /// Whether the last [`Reactor::poll`] found no event: no socket has input that was not looked at.
+    /// Returns whether the last [`Reactor::poll`] found no event, so that no socket had unread input.
     pub fn last_poll_was_empty(&self) -> bool {
         self.last_poll_was_empty
     }
 
-    /// Waits until something happens or `until` comes, calls connections back, and returns the other events.
+    /// Waits until something happens or `until` has passed, calls connections back, and returns the other
+    /// events.
     ///
     /// # Errors
     ///
-    /// The system's error where it can't be polled any more.
+    /// Returns the system error if waiting for events fails.
     pub fn poll(&mut self, until: Option<Time>) -> io::Result<Vec<ReactorEvent>> {
         self.last_poll_was_empty = false;
         let was_polled = self.wait(until)?;
@@ -49,16 +51,16 @@
         Ok(events)
     }
 
-    /// Waits for events, the first timer or `until`; false if the wait was interrupted again and again, so that nothing
-    /// is known of the sockets.
+    /// Waits for events, the first timer or `until`. Returns false if the wait was interrupted repeatedly,
+    /// so that the state of the sockets is unknown.
     fn wait(&mut self, until: Option<Time>) -> io::Result<bool> {
         let wake_up = self.timers.next_expiry().into_iter().chain(until).min();
         let mut timeout = wake_up.map(|time| {
             let remaining = time - self.clock.now();
             Duration::from_nanos(remaining.0 + TIMER_ROUNDING.0)
         });
-        // A signal interrupts the wait and hides what the sockets have: that is asked for once more, as it
-        // goes before the timers and the signal itself.
+        // A signal interrupts the wait and hides the events of the sockets. The sockets are therefore polled
+        // again, because their events take precedence over timers and the signal itself.
         let entered_at = self.clock.now();
         let requested_timeout = timeout;
         for _ in 0..MAX_INTERRUPTIONS {
@@ -74,14 +76,14 @@
         Ok(false)
     }
 
-    /// Notes since when the input that a poll has reported may have been there.
+    /// Records the earliest time at which the input reported by a poll may have arrived.
     fn record_poll(&mut self, entered_at: Time, requested_timeout: Option<Duration>) {
         let returned_at = self.clock.now();
         let waited = returned_at - entered_at;
         let woke_late = requested_timeout
             .is_some_and(|timeout| waited > Span(timeout.as_nanos() as u64) + LATE_WAKEUP_THRESHOLD);
         self.earliest_input_at = if waited < IMMEDIATE_RETURN_THRESHOLD {
-            // It was there already, and came while the process was busy with the input before.
+            // The input was already waiting: it arrived while the process was handling the previous events.
             self.polled_at
         } else if woke_late {
             entered_at
