--- a/src/net/reactor/listeners.rs
+++ b/src/net/reactor/listeners.rs
@@ -1,4 +1,4 @@
-//! The sockets at which clients are accepted.
+//! The sockets on which clients are accepted.
 
 use super::token::EventSource;
 use crate::net::Stream;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::os::unix::net::UnixListener as StdUnixListener;
 
-/// A listener of the reactor.
+/// The id of a listener in the reactor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListenerId(pub(super) usize);
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// All listeners by id. The place of a closed one stays empty.
+/// All listeners by id. The slot of a closed listener stays empty.
 #[derive(Default)]
 pub(super) struct Listeners {
     slots: Vec<Option<Listener>>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The ids of all listeners, closed ones included.
+    /// Returns the ids of all listeners, including closed ones.
     pub(super) fn ids(&self) -> Vec<ListenerId> {
         (0..self.slots.len()).map(ListenerId).collect()
     }
--- a/src/net/reactor/pipes.rs
+++ b/src/net/reactor/pipes.rs
@@ -1,4 +1,4 @@
-//! Pipes by which other parts of the process, such as signal handlers, wake the reactor.
+//! Pipes through which other parts of the process, such as signal handlers, wake the reactor.
 
 use super::token::EventSource;
 use mio::net::UnixStream;
@@ -6,7 +6,7 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream as StdUnixStream;
 
-/// A pipe that the reactor watches.
+/// The id of a watched pipe in the reactor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PipeId(pub(super) usize);
 
@@ -26,7 +26,7 @@
         Ok(id)
     }
 
-    /// Reads and drops whatever was written to a pipe.
+    /// Reads and discards everything that was written to a pipe.
     pub(super) fn drain(&mut self, id: PipeId) {
         let mut bytes = [0; 64];
         let Some(pipe) = self.pipes.get_mut(id.0) else {
--- a/src/net/reactor/token.rs
+++ b/src/net/reactor/token.rs
@@ -1,17 +1,17 @@
-//! Which source of events a poll token stands for.
+//! The mapping between event sources and poll tokens.
 
 use super::{ListenerId, PipeId, UdpSocketId};
 use crate::model::ConnectionId;
 use mio::Token;
 
-/// First token of the pipes; the listeners' tokens are below it.
+/// First token of the pipes. The tokens of listeners are below it.
 const FIRST_PIPE: usize = 1 << 8;
 /// First token of the UDP sockets.
 const FIRST_UDP_SOCKET: usize = 1 << 9;
-/// First token of the connections, whose ids are their tokens. None is used twice.
+/// First token of the connections, whose ids are their tokens. No id is reused.
 pub(super) const FIRST_CONNECTION: ConnectionId = ConnectionId(1 << 10);
 
-/// A source of events. Each kind has a range of tokens of its own.
+/// An event source. Each kind has its own range of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EventSource {
     Listener(ListenerId),
--- a/src/net/reactor/udp_sockets.rs
+++ b/src/net/reactor/udp_sockets.rs
@@ -1,4 +1,4 @@
-//! UDP sockets, whose datagrams the reactor's caller reads and sends.
+//! UDP sockets, whose datagrams the reactor's caller receives and sends.
 
 use super::token::EventSource;
 use mio::net::UdpSocket;
@@ -6,7 +6,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// A UDP socket of the reactor.
+/// The id of a UDP socket in the reactor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UdpSocketId(pub(super) usize);
 
@@ -49,7 +49,8 @@
     }
 }
 
-/// Whether further datagrams may wait behind an error: a peer that is down shows as a refused connection.
+/// Returns whether further datagrams may follow after an error. A peer that is not listening causes a
+/// "connection refused" error.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.kind(),
