--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,4 +1,4 @@
-//! The reactor with connections that echo, close or panic.
+//! Tests of the reactor with connections that echo their input, close or panic.
 
 use super::token::EventSource;
 use super::*;
@@ -6,7 +6,7 @@
 use crate::net::{BufferLimits, BufferedStream, CloseCause, Connection, ConnectionFlow, Context};
 use std::io::{Read, Write};
 
-/// Shared state that only counts what the reactor reports.
+/// Shared state that counts the reactor's reports.
 #[derive(Default)]
 struct ReportCounts {
     panics: u32,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Echoes its input, and panics at an `!`.
+/// Echoes its input, and panics if the input contains `!`.
 struct PanickingEcho;
 
 impl Connection<ReportCounts> for PanickingEcho {
@@ -50,7 +50,8 @@
     }
 }
 
-/// Echoes its input, is idle from its start on, and closes when its time has come unless input has come before.
+/// Echoes its input. It is idle from the start and closes at the given time, unless it has received input
+/// before.
 struct ClosingEcho {
     closes_at: Option<Time>,
 }
@@ -98,7 +99,7 @@
     }
 }
 
-/// A client's connection that panics at any input, with something left to say to its client.
+/// A client's connection that panics on any input and then has output for its client.
 struct PanickingClient;
 
 impl Connection<ReportCounts> for PanickingClient {
@@ -139,7 +140,7 @@
     Reactor::new(SystemClock::new(), ReportCounts::default()).unwrap()
 }
 
-/// Adds a connection; its id, and the other end of its stream.
+/// Adds a connection. Returns its id and the other end of its stream.
 fn add(
     connection: impl Connection<ReportCounts>,
     reactor: &mut Reactor<ReportCounts>,
@@ -156,7 +157,8 @@
     add(PanickingEcho, reactor, limits)
 }
 
-/// Input may come after the last poll: a connection that is closed with input on it takes a request along.
+/// Input may arrive after the last poll. Closing the connection as idle would lose the request that it
+/// carries.
 #[test]
 fn a_connection_on_which_input_waits_is_not_closed_as_idle() {
     let mut reactor = reactor();
@@ -179,7 +181,7 @@
     }
 }
 
-/// A peer that reads nothing must not use memory without bound.
+/// A peer that does not read its input must not use unbounded memory.
 #[test]
 fn output_beyond_the_limit_closes_the_connection_that_adds_to_it() {
     let mut reactor = reactor();
