--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -1,4 +1,4 @@
-//! A stream with an input and an output buffer, registered with the system for what it waits for.
+//! A stream with input and output buffers, registered with the system for the events that it needs.
 
 use super::Stream;
 use crate::model::ConnectionId;
@@ -8,17 +8,17 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes read from a socket at a time; also the free capacity that a buffer may keep.
+/// Number of bytes read from a socket at a time; also the unused capacity that a buffer may keep.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Capacity in bytes that an emptied output buffer keeps.
+/// Capacity in bytes that an empty output buffer keeps.
 const RETAINED_OUTPUT_BYTES: usize = 4096;
 
-/// Sizes in bytes beyond which a connection is not read from until they are fallen below again.
+/// Limits in bytes on a connection's buffers. While either is exceeded, nothing is read from the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BufferLimits {
-    /// Input that the connection has not consumed yet.
+    /// Limit on the input that the connection has not consumed yet.
     pub input: usize,
-    /// Output that the peer has not taken yet.
+    /// Limit on the output that the peer has not accepted yet.
     pub output: usize,
 }
 
@@ -28,16 +28,16 @@
     stream: Stream,
     token: Token,
     connected: bool,
-    /// What the system was last asked to report; none before the first time.
+    /// The events that the stream is registered for; `None` before the first registration.
     interest: Option<Interest>,
     /// Bytes that were read and not yet consumed.
     pub input: Vec<u8>,
-    /// The peer has closed its half.
+    /// Whether the peer has closed its half.
     pub input_ended: bool,
-    /// Reading stopped before the socket was empty, so that the system has to be asked for a new event.
+    /// Whether reading stopped before the socket was empty, so that the registration must be renewed.
     input_left_in_socket: bool,
     output: Vec<u8>,
-    /// Bytes at the start of `output` that have been written.
+    /// Number of bytes at the start of `output` that have been written.
     written: usize,
     limits: BufferLimits,
 }
@@ -58,23 +58,23 @@
         }
     }
 
-    /// The connection's id.
+    /// Returns the connection's id.
     pub fn id(&self) -> ConnectionId {
         ConnectionId(self.token.0 as u64)
     }
 
-    /// Whether the stream is connected, as opposed to still connecting.
+    /// Returns whether the stream is connected, as opposed to still connecting.
     pub fn is_connected(&self) -> bool {
         self.connected
     }
 
-    /// Whether the stream is connected now; an error says that it never will be.
+    /// Checks whether the connect has succeeded. An error means that it has failed.
     pub(super) fn check_connected(&mut self) -> io::Result<bool> {
         self.connected = self.stream.connect_finished()?;
         Ok(self.connected)
     }
 
-    /// Bytes of output that wait to be written.
+    /// Returns the number of output bytes that wait to be written.
     pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
@@ -84,25 +84,25 @@
         self.output.extend_from_slice(bytes);
     }
 
-    /// Removes the first bytes of the input, which have been used.
+    /// Removes the first `count` bytes of the input, which have been processed.
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
-        // Hundreds of connections must not each keep the capacity of their largest message.
+        // With hundreds of connections, none may keep the capacity of its largest message.
         if self.input.capacity() > READ_CHUNK_BYTES + 2 * self.input.len() {
             self.input.shrink_to(self.input.len());
         }
     }
 
-    /// Whether nothing is read until a buffer falls below its limit again.
+    /// Returns whether reading is paused because a buffer exceeds its limit.
     pub fn reading_paused(&self) -> bool {
         self.unsent_bytes() > self.limits.output || self.input.len() > self.limits.input
     }
 
-    /// Writes as much output as the system takes; true once all of it is written.
+    /// Writes as much output as the system accepts. Returns true once all of it is written.
     ///
     /// # Errors
     ///
-    /// The stream's error, after which the connection is of no more use.
+    /// Returns the stream's error, after which the connection is unusable.
     pub fn flush(&mut self) -> io::Result<bool> {
         while self.connected && self.unsent_bytes() > 0 {
             match self.stream.write(&self.output[self.written..]) {
@@ -127,18 +127,18 @@
         }
     }
 
-    /// Shuts down the sending half, so that the peer sees its end.
+    /// Shuts down the sending half, so that the peer sees the end of the stream.
     pub(super) fn shutdown_write(&self) {
         self.stream.shutdown_write();
     }
 
-    /// Leaves the rest of the input in the socket for now; the next [`BufferedStream::register`] asks for a
-    /// new event.
+    /// Leaves the remaining input in the socket. The next [`BufferedStream::register`] requests a new event
+    /// for it.
     pub(super) fn leave_input_in_socket(&mut self) {
         self.input_left_in_socket = true;
     }
 
-    /// Reads until the socket is empty or a buffer's limit is passed; true if it is empty.
+    /// Reads until the socket is empty or a buffer exceeds its limit. Returns true if the socket is empty.
     pub(super) fn fill(&mut self) -> io::Result<bool> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         let buffered_before = self.input.len();
@@ -155,21 +155,21 @@
                 Ok(count) => self.input.extend_from_slice(&chunk[..count]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(true),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // What came before a reset is used first, like what comes before an orderly end.
+                // Input received before a reset is processed first, as it is before an orderly end.
                 Err(_) if self.input.len() > buffered_before => self.input_ended = true,
                 Err(error) => return Err(error),
             }
         }
     }
 
-    /// Registers with the system the events that are waited for now.
+    /// Registers the stream for the events that it needs now.
     ///
     /// Events are edge-triggered: input that was left in the socket is reported again only if the
     /// registration is renewed.
     ///
     /// # Errors
     ///
-    /// The system's. The registration is then as it was before, and is to be tried again.
+    /// Returns the system error. The registration is unchanged then, and must be retried.
     pub(super) fn register(&mut self, registry: &Registry) -> io::Result<()> {
         let wanted = self.wanted_interest();
         let renew = self.input_left_in_socket && !self.reading_paused();
--- a/src/net/buffered_stream/tests.rs
+++ b/src/net/buffered_stream/tests.rs
@@ -4,7 +4,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// Epoll reports input once. What was left in the socket while output waited must be reported again.
+/// Epoll reports input once. Input that stays in the socket because unsent output pauses reading must be
+/// reported again after the output is written.
 #[test]
 fn input_left_in_the_socket_is_reported_again() {
     let (near, mut far) = UnixStream::pair().unwrap();
