--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,10 +1,10 @@
-//! The clock against which deadlines are measured.
+//! The clock that deadlines refer to.
 
 use crate::model::{Span, Time};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time at the start plus the monotonic time since, so that setting the system's clock moves no
-/// deadline.
+/// A clock that adds the monotonic time since its creation to the Unix time of its creation, so that setting
+/// the system clock does not change deadlines.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     unix_start: Time,
@@ -12,7 +12,7 @@
 }
 
 impl SystemClock {
-    /// A clock that starts at the system's present time.
+    /// Creates a clock that starts at the current system time.
     pub fn new() -> SystemClock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         SystemClock {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The present time, in nanoseconds since the Unix epoch.
+    /// Returns the current time, in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Time {
         self.unix_start + Span(self.start.elapsed().as_nanos() as u64)
     }
--- a/src/net/message_deadline.rs
+++ b/src/net/message_deadline.rs
@@ -1,14 +1,14 @@
-//! The time within which a peer must complete a message that it has begun.
+//! The deadline by which a peer must complete a message that it has started.
 
 use crate::model::{Span, Time};
 
 #[cfg(test)]
 mod tests;
 
-/// What the input that is left over after a read holds of a message.
+/// The part of a message that the remaining input holds after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartialMessage {
-    /// Nothing: every message is complete.
+    /// Nothing, because every message is complete.
     None,
     /// The start of a message that began with the latest input.
     Begun,
@@ -17,8 +17,8 @@
 }
 
 impl PartialMessage {
-    /// What is left over where the input ends within a message or not, and where the read has completed a message
-    /// before that or not.
+    /// Returns the partial message after a read, given whether the input ends within a message and whether
+    /// the read completed an earlier message.
     pub fn after_read(is_incomplete: bool, has_completed_message: bool) -> PartialMessage {
         match (is_incomplete, has_completed_message) {
             (false, _) => PartialMessage::None,
@@ -28,7 +28,7 @@
     }
 }
 
-/// When an incomplete message must be complete. It is not put off by input that leaves the message incomplete.
+/// The deadline of an incomplete message. Input that leaves the message incomplete does not extend it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MessageDeadline {
     timeout: Span,
@@ -36,7 +36,7 @@
 }
 
 impl MessageDeadline {
-    /// No message has begun; each has so long from its beginning.
+    /// Creates a deadline without a message. Each message must be complete within `timeout` of its start.
     pub fn new(timeout: Span) -> MessageDeadline {
         MessageDeadline {
             timeout,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Follows a read at `now`.
+    /// Updates the deadline after a read at `now`.
     pub fn track(&mut self, message: PartialMessage, now: Time) {
         let from_now = now + self.timeout;
         self.deadline = match message {
@@ -54,12 +54,12 @@
         };
     }
 
-    /// The deadline of the incomplete message, if there is one.
+    /// Returns the deadline of the incomplete message, if there is one.
     pub fn get(&self) -> Option<Time> {
         self.deadline
     }
 
-    /// Whether the incomplete message began at `now`.
+    /// Returns whether the incomplete message began at `now`.
     pub fn began_at(&self, now: Time) -> bool {
         self.deadline == Some(now + self.timeout)
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,12 @@
-//! Sockets: a clock, buffered streams over TCP or Unix sockets, and the reactor that calls connections back.
+//! Networking: a clock, buffered streams over TCP or Unix sockets, and the reactor that calls connections
+//! back.
 //!
-//! The reactor waits for events of all sockets and timers at once and runs in one thread. What is spoken on a
-//! stream is up to the [`Connection`]s that the modules above add to it.
+//! The reactor waits for the events of all sockets and timers, and runs in a single thread. The protocol of
+//! a stream is defined by the [`Connection`] that a higher module adds for it.
 //!
-//! What a connection works on besides its stream is a type parameter: the reactor owns a [`SharedState`] and
-//! lends it to every callback in a [`Context`]. So this module names none of the modules whose state that is.
+//! The state that connections work on besides their streams is a type parameter: the reactor owns a
+//! [`SharedState`] and lends it to every callback in a [`Context`]. This module therefore does not depend on
+//! the modules that define that state.
 
 mod buffered_stream;
 mod clock;
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -6,27 +6,27 @@
 use std::net::{Shutdown, SocketAddr};
 use std::path::Path;
 
-/// A non-blocking stream of either kind.
+/// A non-blocking stream over a TCP or Unix socket.
 #[derive(Debug)]
 pub enum Stream {
-    /// Over TCP.
+    /// A TCP stream.
     Tcp(TcpStream),
-    /// Over a Unix socket.
+    /// A Unix stream.
     Unix(UnixStream),
 }
 
 impl Stream {
-    /// Begins a TCP connection.
+    /// Starts a TCP connection.
     pub(super) fn connect_tcp(address: SocketAddr) -> io::Result<Stream> {
         TcpStream::connect(address).map(Stream::from_tcp)
     }
 
-    /// Begins a connection to a Unix socket.
+    /// Starts a connection to a Unix socket.
     pub(super) fn connect_unix(path: &Path) -> io::Result<Stream> {
         UnixStream::connect(path).map(Stream::Unix)
     }
 
-    /// Messages are small and urgent: Nagle's algorithm is switched off, where the system allows it.
+    /// Wraps a TCP stream and disables Nagle's algorithm if possible, because messages are small and urgent.
     pub(super) fn from_tcp(stream: TcpStream) -> Stream {
         let _ = stream.set_nodelay(true);
         Stream::Tcp(stream)
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Shuts down the sending half, so that the peer sees its end.
+    /// Shuts down the sending half, so that the peer sees the end of the stream.
     pub(super) fn shutdown_write(&self) {
         let _ = match self {
             Stream::Tcp(stream) => stream.shutdown(Shutdown::Write),
@@ -61,8 +61,8 @@
         };
     }
 
-    /// Whether a connect has succeeded; an error says that it has failed, and `false` that it is still under
-    /// way.
+    /// Returns whether a connect has succeeded, or `false` if it is still in progress. An error means that
+    /// it has failed.
     pub(super) fn connect_finished(&self) -> io::Result<bool> {
         let (error, peer) = match self {
             Stream::Tcp(stream) => (stream.take_error()?, stream.peer_addr().map(drop)),
