--- a/src/logging/line_format.rs
+++ b/src/logging/line_format.rs
@@ -1,4 +1,4 @@
-//! The form of a line of the log.
+//! The format of a log line.
 
 use std::fmt;
 use tracing::{Event, Subscriber};
@@ -6,10 +6,10 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// What every line begins with.
+/// Prefix of every line.
 const PREFIX: &str = "function-scheduler: ";
 
-/// Formats an event as the prefix, its message and its fields.
+/// Formats an event as the prefix, the message and the fields.
 pub(super) struct LineFormat;
 
 impl<S, N> FormatEvent<S, N> for LineFormat
--- a/src/logging/line_writer.rs
+++ b/src/logging/line_writer.rs
@@ -1,7 +1,8 @@
-//! A writer whose lines go to standard error through a thread of its own.
+//! A writer that passes lines to a thread, which writes them to standard error.
 //!
-//! `tracing-appender` has such a writer, but its thread must start, its guard prints to standard output where the
-//! queue stays full, and it counts no failed write; each of these would end or hide what this writer is there to bear.
+//! `tracing-appender` is not suitable: it requires that its thread starts, its guard prints to standard
+//! output if the queue stays full, and it does not count failed writes. This writer tolerates and counts
+//! these failures.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,40 +11,41 @@
 use std::time::{Duration, Instant};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that may wait to be written.
+/// Maximum number of lines that wait to be written.
 const QUEUE_CAPACITY_LINES: usize = 1024;
-/// Bytes kept of a line: its rest is cut off, so that the queue's memory is bounded.
+/// Maximum length of a line in bytes. Longer lines are truncated, which bounds the queue's memory.
 const MAX_LINE_BYTES: usize = 4096;
-/// Pause between two looks at a queue that is full while the log closes.
+/// Interval at which a full queue is checked while the log closes.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 static LINES_DROPPED: AtomicU64 = AtomicU64::new(0);
 static LINES_FAILED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that found the queue full, or that no thread could be had for.
+/// Returns the number of lines dropped because the queue was full or the writing thread could not be
+/// started.
 pub fn log_lines_dropped() -> u64 {
     LINES_DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines whose write failed.
+/// Returns the number of lines whose write failed.
 pub fn log_lines_failed() -> u64 {
     LINES_FAILED.load(Ordering::Relaxed)
 }
 
 enum Message {
     Line(Vec<u8>),
-    /// All lines before this have been written, or have failed, once it is received.
+    /// A request to confirm that all earlier lines have been written or have failed.
     Flush(SyncSender<()>),
 }
 
-/// Hands whole lines to the thread that writes them.
+/// Passes whole lines to the thread that writes them.
 #[derive(Clone, Debug)]
 pub(super) struct LineWriter {
     sender: SyncSender<Message>,
 }
 
 impl LineWriter {
-    /// Starts the thread. If the system has none to give, every line counts as dropped.
+    /// Starts the thread. If the thread cannot be started, all lines are dropped and counted.
     pub(super) fn to_standard_error() -> LineWriter {
         let (sender, receiver) = sync_channel(QUEUE_CAPACITY_LINES);
         let _ = thread::Builder::new()
@@ -52,7 +54,7 @@
         LineWriter { sender }
     }
 
-    /// Waits until all lines so far have been written, or the time is over.
+    /// Waits until all earlier lines have been written or the timeout has passed.
     pub(super) fn wait_until_written(&self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         let (written, all_written) = sync_channel(1);
@@ -92,7 +94,7 @@
     }
 }
 
-/// A line without what exceeds the bound.
+/// Returns the line, truncated to [`MAX_LINE_BYTES`].
 fn truncated(line: &[u8]) -> Vec<u8> {
     if line.len() <= MAX_LINE_BYTES {
         return line.to_vec();
--- a/src/logging/mod.rs
+++ b/src/logging/mod.rs
@@ -1,12 +1,12 @@
-//! The log of the process: one line an event on standard error, written so that the event loop never waits for it.
+//! The log of the process: one line per event on standard error, written without blocking the event loop.
 //!
-//! Events are those of the [`tracing`] crate. Each line begins with `function-scheduler: `, then come the message and
-//! the fields as `name=value`. The environment variable [`LEVEL_VARIABLE`] names the least severe level that is
-//! logged, `info` where it is absent or no level.
+//! Events are those of the [`tracing`] crate. Each line starts with `function-scheduler: `, followed by the
+//! message and the fields as `name=value`. The environment variable [`LEVEL_VARIABLE`] sets the least severe
+//! level that is logged; the default, also for an invalid value, is `info`.
 //!
-//! A line is handed to a thread of its own. If that thread stands in a write, because nobody reads the log, lines
-//! beyond a bounded queue are dropped; if the write fails, because the disk is full or the reader has gone, the line
-//! is lost. Both are counted, and neither ends or stops the process.
+//! Lines are written by a separate thread. If the thread is blocked in a write because the log is not being
+//! read, lines beyond a bounded queue are dropped. If a write fails because the disk is full or the reader
+//! has exited, the line is lost. Both are counted, and neither stops or blocks the process.
 
 mod line_format;
 mod line_writer;
@@ -22,22 +22,22 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt;
 
-/// The environment variable that names the least severe level that is logged: `error`, `warn`, `info`, `debug` or
-/// `trace`.
+/// Name of the environment variable that sets the least severe level that is logged: `error`, `warn`,
+/// `info`, `debug` or `trace`.
 pub const LEVEL_VARIABLE: &str = "FUNCTION_SCHEDULER_LOG";
 
-/// How long the end of the process waits for lines that are not yet written, at most.
+/// Maximum time that the exit of the process waits for unwritten lines.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The process's log, open until it is dropped. Dropping it waits a moment for the lines that are not yet written.
+/// The log of the process, open until it is dropped. Dropping it waits briefly for unwritten lines.
 #[derive(Debug)]
 pub struct Log {
     writer: LineWriter,
 }
 
 impl Log {
-    /// Sends the events of the whole process, and the message of every panic, to standard error. To be called once,
-    /// at the start.
+    /// Opens the log, which receives the events of the whole process and the message of every panic. It must
+    /// be called at most once, at startup.
     pub fn open() -> Log {
         let writer = LineWriter::to_standard_error();
         let subscriber = fmt()
@@ -45,7 +45,7 @@
             .event_format(LineFormat)
             .with_writer(writer.clone())
             .finish();
-        // An embedding program's own subscriber stays.
+        // A subscriber that an embedding program has set stays in place.
         let _ = tracing::subscriber::set_global_default(subscriber);
         panic::set_hook(Box::new(|panic| {
             tracing::error!(cause = ?panic.to_string(), "panic");
--- a/src/logging/tests/capture.rs
+++ b/src/logging/tests/capture.rs
@@ -1,4 +1,4 @@
-//! Captures the log in memory, for tests of what is logged.
+//! Captures the log in memory, for tests of log output.
 
 use crate::logging::line_format::LineFormat;
 use std::io;
@@ -7,7 +7,7 @@
 use tracing_subscriber::fmt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// A log that is kept in memory.
+/// A log kept in memory.
 #[derive(Clone, Default)]
 struct MemoryLog(Arc<Mutex<Vec<u8>>>);
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// The text that this thread logs while the action runs, at every level from `debug`.
+/// Returns the text that this thread logs while the action runs, at level `debug` and above.
 pub(crate) fn captured_log(action: impl FnOnce()) -> String {
     let log = MemoryLog::default();
     let writer = log.clone();
--- a/src/logging/tests/mod.rs
+++ b/src/logging/tests/mod.rs
@@ -1,11 +1,12 @@
-//! The form of a line of the log.
+//! Tests of the format of log lines.
 
 pub(crate) mod capture;
 
 use capture::captured_log;
 use tracing::{debug, error};
 
-/// The message comes first wherever it stands in the code. Text is quoted; numbers, names and what is formatted are not.
+/// The message comes first regardless of its position in the code. Strings are quoted; numbers, names and
+/// formatted values are not.
 #[test]
 fn a_line_is_the_message_and_its_fields_in_order() {
     let text = captured_log(|| {
