--- a/src/bin/function-scheduler-sim/host.rs
+++ b/src/bin/function-scheduler-sim/host.rs
@@ -1,20 +1,20 @@
-//! The hosted instances: one policy each, and the endpoint lists that their updates refer to.
+//! The hosted scheduler instances: a policy for each, and the endpoint lists that endpoint updates refer to.
 
 use function_scheduler::simulator_codec::{InstanceId, ListId, Record, Reply};
 use function_scheduler::{Action, Endpoint, EndpointUpdateKind, Event, Policy, Time, config};
 use std::collections::BTreeMap;
 
-/// All instances of this process. Instances share no state; the endpoint lists belong to the process.
+/// All instances of this process. Instances share no state; endpoint lists belong to the process.
 #[derive(Default)]
 pub(crate) struct Host {
     endpoint_lists: BTreeMap<ListId, Vec<Endpoint>>,
     instances: BTreeMap<InstanceId, Policy>,
-    /// Buffer for the actions of one event, kept for its allocation.
+    /// Buffer for the actions of one event, reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Carries out one record of a batch and appends the actions that follow from it.
+    /// Handles one record of a batch and appends the resulting actions to the reply.
     pub(crate) fn handle(&mut self, now: Time, record: Record, reply: &mut Reply) {
         match record {
             Record::OpenInstance {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Starts an instance; settings that cannot be used are reported as a fault of the instance.
+    /// Opens an instance. Invalid settings are reported as a fault of the instance.
     fn open_instance(&mut self, instance: InstanceId, seed: u64, settings: &[u8], reply: &mut Reply) {
         match config::parse_settings(settings) {
             Ok(settings) => {
@@ -49,7 +49,8 @@
         }
     }
 
-    /// The endpoints of an update: none for a failed call, whose list number has no meaning.
+    /// Returns the endpoints of an update. An update of kind `Failed` has none, and its list number is
+    /// meaningless.
     fn endpoints(&self, kind: EndpointUpdateKind, list: ListId) -> Vec<Endpoint> {
         if kind == EndpointUpdateKind::Failed {
             return Vec::new();
@@ -57,7 +58,7 @@
         self.endpoint_lists.get(&list).cloned().unwrap_or_default()
     }
 
-    /// Feeds an event to an instance's policy; events of an instance that is not open are dropped.
+    /// Passes an event to an instance's policy. Events for an instance that is not open are dropped.
     fn deliver(&mut self, now: Time, instance: InstanceId, event: Event, reply: &mut Reply) {
         let Some(policy) = self.instances.get_mut(&instance) else {
             return;
--- a/src/bin/function-scheduler-sim/main.rs
+++ b/src/bin/function-scheduler-sim/main.rs
@@ -1,5 +1,5 @@
-//! Adapter to the simulator: decodes batches of events from standard input, hosts one policy for each
-//! simulated scheduler instance, and answers each batch on standard output with the actions of the policies.
+//! Adapter for the simulator: reads batches of events from standard input, hosts one policy per simulated
+//! scheduler instance, and writes the policies' actions to standard output, one reply per batch.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Replies to batches until the end of the input.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), WireError> {
     let mut host = Host::default();
     while let Some(batch) = read_batch(&mut input)? {
