--- a/src/client.rs
+++ b/src/client.rs
@@ -1,8 +1,8 @@
-//! The scheduler inside an RPC client: requests are placed on workers in the caller's own thread, without the
+//! A scheduler embedded in an RPC client: requests are placed on workers in the caller's thread, without the
 //! server program.
 //!
-//! A [`Client`] owns the scheduler, its connections to workers and its clock. It does nothing between calls:
-//! the embedding program submits requests and calls [`Client::poll`] until their responses have come.
+//! A [`Client`] owns the scheduler, its connections to workers and its clock. It does no work between calls:
+//! the embedding program submits requests and calls [`Client::poll`] until their responses have arrived.
 //!
 //! ```
 //! use function_scheduler::backend::WorkerAddress;
@@ -60,50 +60,50 @@
 };
 use std::io;
 
-/// Most connections to workers that a client opens.
+/// Maximum number of connections to workers.
 const MAX_CONNECTIONS: usize = 256;
-/// All requests of the embedding program count as coming from one connection.
+/// All requests of the embedding program count as coming from the same connection.
 const CONNECTION: ConnectionId = ConnectionId(0);
 
-/// A request that was submitted; unique within its client.
+/// The id of a submitted request, unique within its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmittedRequestId(pub u64);
 
-/// A worker and where it is reached.
+/// A worker and its address.
 #[derive(Clone, Debug)]
 pub struct WorkerEndpoint {
-    /// Its line of the endpoint list.
+    /// Its entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: WorkerAddress,
 }
 
-/// The end of a request.
+/// A completed request and its response.
 #[derive(Clone, Debug)]
 pub struct CompletedRequest {
-    /// Which request.
+    /// The request.
     pub request: SubmittedRequestId,
-    /// How it ended.
+    /// Its final response.
     pub response: Response,
 }
 
-/// A scheduler inside its client. See the module's page.
+/// A scheduler embedded in a client program. See the [module documentation](self).
 pub struct Client {
-    /// Owns the scheduler, which its connections share.
+    /// Owns the scheduler, which all connections share.
     reactor: Reactor,
     pool: Pool,
     last_request: u64,
-    /// Makes correlation ids unlike those of other clients of the same workers.
+    /// Distinguishes correlation ids from those of other clients of the same workers.
     correlation_prefix: u32,
     completed: Vec<CompletedRequest>,
 }
 
 impl Client {
-    /// A scheduler without workers. The seed decides ties, and has to differ between clients.
+    /// Creates a scheduler without workers. The seed decides ties and must differ between clients.
     ///
     /// # Errors
     ///
-    /// Those of the operating system, where it provides no event queue on which the client waits.
+    /// Returns the system error if the event queue cannot be created.
     pub fn new(site: Site, seed: u64) -> io::Result<Client> {
         Ok(Client {
             pool: Pool::new(Limits::for_site(&site, MAX_CONNECTIONS)),
@@ -114,12 +114,13 @@
         })
     }
 
-    /// The present time on the clock of deadlines.
+    /// Returns the current time on the clock that deadlines refer to.
     pub fn now(&self) -> Time {
         self.reactor.now()
     }
 
-    /// Replaces the endpoint list, to be called whenever it has changed. A worker absent from it is gone.
+    /// Replaces the endpoint list, and must be called whenever the list changes. A worker that is not listed
+    /// counts as gone.
     pub fn set_endpoints(&mut self, workers: Vec<WorkerEndpoint>) {
         self.update_addresses(&workers);
         let endpoints = workers.into_iter().map(|worker| worker.endpoint).collect();
@@ -129,7 +130,8 @@
         self.run_commands();
     }
 
-    /// Submits a request. [`Client::poll`] gives its one response, unless it is cancelled before.
+    /// Submits a request. [`Client::poll`] returns its single response, unless the request is cancelled
+    /// first.
     pub fn submit(&mut self, parameters: RequestParameters) -> SubmittedRequestId {
         self.last_request += 1;
         let id = SubmittedRequestId(self.last_request);
@@ -144,7 +146,7 @@
         id
     }
 
-    /// Cancels a request: there will be no response, and the worker is notified where it can stop the work.
+    /// Cancels a request. It gets no response, and the worker is notified if it is able to stop the work.
     pub fn cancel(&mut self, request: SubmittedRequestId) {
         let now = self.reactor.now();
         self.reactor.shared.scheduler.cancel(now, origin(request));
@@ -152,12 +154,12 @@
         self.run_commands();
     }
 
-    /// Waits until something has happened, at most until `until`, and returns the requests that have ended since
-    /// the last call.
+    /// Waits until something happens, but no longer than `until`, and returns the requests that have
+    /// completed since the last call.
     ///
     /// # Errors
     ///
-    /// Those of the operating system, where waiting on the event queue fails.
+    /// Returns the system error if waiting for events fails.
     pub fn poll(&mut self, until: Time) -> io::Result<Vec<CompletedRequest>> {
         if self.completed.is_empty() {
             let next_timer = self.reactor.shared.scheduler.next_timer();
@@ -168,13 +170,12 @@
         Ok(std::mem::take(&mut self.completed))
     }
 
-    /// What has been counted so far.
+    /// Returns the counters since the client was created.
     pub fn counters(&mut self) -> &Counters {
         self.reactor.shared.scheduler.counters()
     }
 
-    /// Keeps the pool's addresses in step with the endpoint list, before the scheduler may send to new
-    /// workers.
+    /// Updates the pool's addresses from the endpoint list, before the scheduler can send to new workers.
     fn update_addresses(&mut self, workers: &[WorkerEndpoint]) {
         let present = || {
             workers
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Carries out what the scheduler wants done.
+    /// Executes the scheduler's commands.
     fn run_commands(&mut self) {
         let now = self.reactor.now();
         self.reactor.shared.scheduler.fire_timers(now);
@@ -206,13 +207,13 @@
         self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
     }
 
-    /// The name under which workers see a request: 16 hexadecimal digits.
+    /// Returns the id under which workers see a request: 16 hexadecimal digits.
     fn correlation_id(&self, request: SubmittedRequestId) -> String {
         format!("{:08x}{:08x}", self.correlation_prefix, request.0 as u32)
     }
 }
 
-/// Where the scheduler is to answer a request to.
+/// Returns the origin that identifies a request in the scheduler's response.
 fn origin(request: SubmittedRequestId) -> RequestOrigin {
     RequestOrigin {
         connection: CONNECTION,
@@ -220,7 +221,8 @@
     }
 }
 
-/// Differs between clients of one program by the seed, and between programs by the process id.
+/// Returns a prefix that differs by the seed between clients of one program, and by the process id between
+/// programs.
 fn correlation_prefix(seed: u64) -> u32 {
     (seed ^ seed >> 32) as u32 ^ std::process::id()
 }
--- a/tests/client.rs
+++ b/tests/client.rs
@@ -1,4 +1,4 @@
-//! The embedded client: submitted requests have one response each, and cancelled ones none.
+//! Tests of the embedded client: each submitted request gets one response, and a cancelled request none.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -21,7 +21,8 @@
     RequestParameters::new(class, FunctionId(9), deadline, body.to_vec())
 }
 
-/// The responses of this many requests.
+/// Polls until this many requests have completed or the wait limit has passed, and returns the completed
+/// ones.
 fn wait_for(client: &mut Client, count: usize) -> Vec<CompletedRequest> {
     let until = client.now() + Span::from_millis(WAIT_LIMIT.as_millis() as u64);
     let mut completed = Vec::new();
