--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,30 +1,32 @@
-//! A scheduler of requests for functions: it places each request on a worker, has workers load and unload
-//! the functions that are called, and gives each request one final response in time.
+//! A request scheduler for serverless functions: it places each request on a worker, orders workers to load
+//! and unload functions, and gives each request one final response before its deadline.
 //!
 //! # Layers
 //!
-//! Modules import downwards only, from this list's top to its end.
+//! A module imports only from modules further down this list.
 //!
-//! - [`server`] is the program: the event loop round everything below. [`client`] is the scheduler inside an
-//!   RPC client: the same without frontends and discovery.
-//! - [`config`] reads the platform's configuration, the site's settings and the operator's file.
-//! - [`frontend`] is what clients speak, [`backend`] what workers speak, and [`discovery`] follows the
-//!   endpoint list.
-//! - [`runtime`] joins the reactor with the state that all connections share: the scheduler above all.
-//! - [`net`] has the reactor, buffered streams and the clock. It names nothing of the scheduler, and the
-//!   scheduler nothing of it: they stand beside each other.
-//! - [`scheduler`] keeps the requests, attempts, load orders and timers, and carries out the policy's
-//!   actions. It has neither sockets nor a clock.
-//! - [`Policy`] takes the decisions. The types that it shares with the code around it are at the crate's
-//!   root.
-//! - [`logging`] writes the process's log without ever making the event loop wait.
-//! - [`simulator_codec`] is the simulator's wire, on which the second program serves the same policy.
-//! - [`vrrp`] elects one of several servers. Like the policy it is pure.
+//! - [`server`] is the program: the event loop that drives all modules below. [`client`] embeds the scheduler
+//!   in an RPC client, without frontends and discovery.
+//! - [`config`] reads the platform's configuration, the site settings and the operator's file.
+//! - [`frontend`] implements the protocols for clients, [`backend`] the protocols for workers, and
+//!   [`discovery`] follows the endpoint list.
+//! - [`runtime`] combines the reactor with the state that all connections share, most notably the scheduler.
+//! - [`net`] contains the reactor, buffered streams and the clock. It does not depend on the scheduler, and
+//!   the scheduler does not depend on it.
+//! - [`scheduler`] tracks the requests, attempts, load orders and timers, and executes the policy's actions.
+//!   It has neither sockets nor a clock.
+//! - [`Policy`] makes the scheduling decisions. The types that it shares with other modules are exported from
+//!   the crate root.
+//! - [`logging`] writes the log of the process without blocking the event loop.
+//! - [`simulator_codec`] implements the simulator's protocol, over which the second program serves the same
+//!   policy.
+//! - [`vrrp`] elects one of several servers. Like the policy, it performs no I/O.
 //!
 //! # The policy
 //!
-//! [`Policy`] is a state machine without clock, I/O or threads. Feed it [`Event`]s with the time at which
-//! they happened, carry out the [`Action`]s that it appends, and notify it when a timer that it has set fires.
+//! [`Policy`] is a state machine without clock, I/O or threads. Its callers pass it [`Event`]s with the time
+//! at which they happened, execute the [`Action`]s that it appends, and notify it when a timer that it has
+//! set expires.
 //!
 //! ```
 //! use function_scheduler::*;
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,13 +1,13 @@
-//! The reactor together with the state that its connections share: what frontends, backend and discovery are
-//! called back with.
+//! The reactor and the state that all its connections share, on which the callbacks of frontends, backend
+//! and discovery work.
 
 use crate::net::{self, SharedState, SystemClock};
 use crate::scheduler::Scheduler;
 use std::io;
 
-/// The reactor of this program's connections.
+/// The reactor of the scheduler's connections.
 pub type Reactor = net::Reactor<RuntimeState>;
-/// What a callback of a connection may use.
+/// The context that a connection's callbacks receive.
 pub type Context<'a> = net::Context<'a, RuntimeState>;
 
 /// The state that all connections share.
@@ -16,13 +16,13 @@
     pub scheduler: Scheduler,
     /// Whether the scheduler accepts requests.
     pub ready: bool,
-    /// Whether this instance is the active VRRP router, and so accepts requests over JSON-RPC; see
+    /// Whether this instance is the active VRRP router and therefore accepts requests over JSON-RPC; see
     /// [`crate::vrrp`].
     pub active: bool,
 }
 
 impl RuntimeState {
-    /// The state at the start: not ready but active.
+    /// Creates the state at startup: not ready, but active.
     pub fn new(scheduler: Scheduler) -> RuntimeState {
         RuntimeState {
             scheduler,
@@ -42,11 +42,11 @@
     }
 }
 
-/// A reactor without connections, round this scheduler.
+/// Creates a reactor without connections that owns this scheduler.
 ///
 /// # Errors
 ///
-/// Those of [`net::Reactor::new`].
+/// Returns the error of [`net::Reactor::new`].
 pub fn reactor(scheduler: Scheduler) -> io::Result<Reactor> {
     Reactor::new(SystemClock::new(), RuntimeState::new(scheduler))
 }
