--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, within the limits on connections.
+//! Accepts clients within the connection limits.
 
 use super::jsonrpc_listener::{JsonRpcListener, JsonRpcUpdate};
 use super::limits::ClientLimits;
@@ -11,26 +11,27 @@
 use std::io;
 use tracing::warn;
 
-/// Delay before clients are accepted again after the system could not accept one.
+/// Delay before accepting again after an accept failed or no descriptor was free.
 const RETRY_DELAY: Span = Span::from_millis(50);
-/// Failures in a row after which a turn of accepting ends.
+/// Number of consecutive failures after which accepting is suspended for [`RETRY_DELAY`].
 const MAX_CONSECUTIVE_FAILURES: u32 = 8;
 
-/// Accepts clients from the listeners.
+/// Accepts clients from all listeners.
 #[derive(Debug)]
 pub(super) struct Acceptor {
     limits: ClientLimits,
     jsonrpc: Option<JsonRpcListener>,
-    /// Clients of the JSON-RPC frontend, also such as have closed since the last one was accepted.
+    /// Connections of the JSON-RPC frontend. Closed ones are removed when the next client is accepted.
     jsonrpc_clients: BTreeSet<ConnectionId>,
-    /// Since when clients may have waited, because the system or the limits let none be accepted.
+    /// Time since which clients may have been waiting because accepting failed or a limit was reached.
     blocked_since: Option<Time>,
-    /// When to accept again from all listeners: the system reports a waiting client only once.
+    /// Time at which to accept again from all listeners. The listeners are edge-triggered: a waiting client
+    /// is reported only once.
     retry_at: Option<Time>,
 }
 
 impl Acceptor {
-    /// Accepts clients within these limits.
+    /// Creates an acceptor with the given limits.
     pub(super) fn new(limits: ClientLimits, jsonrpc: Option<JsonRpcListener>) -> Acceptor {
         Acceptor {
             limits,
@@ -41,21 +42,22 @@
         }
     }
 
-    /// When [`Acceptor::retry`] has something to do.
+    /// Returns the time at which [`Acceptor::retry`] is due.
     pub(super) fn next_timer(&self) -> Option<Time> {
         self.retry_at
     }
 
-    /// Sets new limits for the clients that are still to come.
+    /// Replaces the limits. Connected clients are not affected.
     pub(super) fn set_limits(&mut self, limits: ClientLimits) {
         self.limits = limits;
     }
 
-    /// Acquires what a new configuration of the JSON-RPC frontend needs, and leaves the present one in place.
+    /// Acquires what a new configuration of the JSON-RPC frontend needs, without changing the current
+    /// listener.
     ///
     /// # Errors
     ///
-    /// Those of [`JsonRpcUpdate::prepare`].
+    /// Returns the error of [`JsonRpcUpdate::prepare`].
     pub(super) fn prepare_jsonrpc(
         &self,
         config: Option<&JsonRpcConfig>,
@@ -64,7 +66,7 @@
         JsonRpcUpdate::prepare(self.jsonrpc.as_ref(), config, reactor)
     }
 
-    /// Applies what [`Acceptor::prepare_jsonrpc`] has acquired.
+    /// Applies an update made by [`Acceptor::prepare_jsonrpc`].
     pub(super) fn apply_jsonrpc(&mut self, update: JsonRpcUpdate, reactor: &mut Reactor) {
         update.apply(&mut self.jsonrpc, reactor);
     }
@@ -79,8 +81,11 @@
         }
     }
 
-    /// Accepts all clients that wait at a listener. A client that has been accepted may have sent a request, so that
-    /// it is not dropped for want of descriptors: it is only accepted while there is one to reject it with.
+    /// Accepts all clients that are waiting at a listener.
+    ///
+    /// An accepted client may already have sent a request, so it must not be dropped for lack of
+    /// descriptors: it is accepted only while a descriptor is free for its connection, even if only to
+    /// reject its requests.
     pub(super) fn accept(&mut self, listener: ListenerId, reactor: &mut Reactor) {
         let mut failures = 0;
         loop {
@@ -96,8 +101,8 @@
                     failures = 0;
                     self.add_client(listener, stream, reactor);
                 }
-                // What fails now and then, or concerns one client alone, must not cost each client that waits a pause;
-                // nor may it keep the event loop here.
+                // A failure that is sporadic or concerns a single client must not delay the other waiting
+                // clients by RETRY_DELAY. The limit keeps persistent failures from blocking the event loop.
                 Err(_) if failures < MAX_CONSECUTIVE_FAILURES => failures += 1,
                 Err(error) => {
                     return self.schedule_retry(&error.to_string(), reactor);
@@ -106,13 +111,13 @@
         }
     }
 
-    /// Whether a further client can be accepted at all, be it to be rejected.
+    /// Returns whether one more client can be accepted, if only to reject its requests.
     fn may_accept(&self, reactor: &mut Reactor) -> bool {
         reactor.connection_count() < self.limits.shedding || reactor.close_longest_idle()
     }
 
-    /// Whether a client that has just been accepted can be served: it is one of the guaranteed, or there is a
-    /// descriptor for it, if need be that of an idle connection.
+    /// Returns whether a newly accepted client can be served: it is within the guaranteed number, or a
+    /// descriptor is free for it, if necessary after closing an idle connection.
     fn may_serve(&self, reactor: &mut Reactor) -> bool {
         reactor.client_count() < self.limits.guaranteed
             || reactor.connection_count() < self.limits.connections
@@ -149,7 +154,8 @@
         self.read_waiting_input(client, reactor);
     }
 
-    /// Reads at once what a client has sent while it waited to be accepted: its requests have less time left.
+    /// Reads immediately what a client sent while it waited to be accepted, because less time is left for
+    /// its requests.
     fn read_waiting_input(&self, client: Option<ConnectionId>, reactor: &mut Reactor) {
         if let (Some(client), Some(since)) = (client, self.blocked_since) {
             reactor.read_waiting_input(client, since);
@@ -176,8 +182,8 @@
         self.jsonrpc_clients.extend(client);
     }
 
-    /// Closes the JSON-RPC client that has been idle for longest if there are as many as allowed; false if
-    /// none is idle.
+    /// Makes room for one more JSON-RPC client, if necessary by closing the client that has been idle for
+    /// longest. Returns false if all are busy.
     fn ensure_jsonrpc_capacity(&mut self, max_clients: usize, reactor: &mut Reactor) -> bool {
         self.jsonrpc_clients
             .retain(|client| reactor.has_connection(*client));
--- a/src/server/jsonrpc_listener.rs
+++ b/src/server/jsonrpc_listener.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC frontend's listener, and its replacement at a reload.
+//! The listener of the JSON-RPC frontend, and its replacement on a reload.
 
 use crate::config::JsonRpcConfig;
 use crate::frontend::unix_socket::{self, SocketFile};
@@ -6,11 +6,11 @@
 use crate::runtime::Reactor;
 use std::io;
 
-/// The JSON-RPC frontend's listener.
+/// The listener of the JSON-RPC frontend.
 #[derive(Debug)]
 pub(super) struct JsonRpcListener {
     listener: ListenerId,
-    /// Removes the socket's file when the listener is dropped.
+    /// Removes the socket file when the listener is dropped.
     socket_file: SocketFile,
     config: JsonRpcConfig,
 }
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// The system's, or that of [`unix_socket::bind`].
+    /// Returns the system error, or the error of [`unix_socket::bind`].
     pub(super) fn bind(config: &JsonRpcConfig, reactor: &mut Reactor) -> io::Result<JsonRpcListener> {
         let (listener, socket_file) = unix_socket::bind(&config.socket, config.mode)?;
         Ok(JsonRpcListener {
@@ -30,33 +30,33 @@
         })
     }
 
-    /// The listener's id in the reactor.
+    /// Returns the listener's id in the reactor.
     pub(super) fn id(&self) -> ListenerId {
         self.listener
     }
 
-    /// The configuration in use.
+    /// Returns the configuration in use.
     pub(super) fn config(&self) -> &JsonRpcConfig {
         &self.config
     }
 }
 
-/// What a reload does to the JSON-RPC frontend. Clients that are connected stay in any case.
+/// A change of the JSON-RPC frontend by a reload. Connected clients stay connected in either case.
 #[derive(Debug)]
 pub(super) enum JsonRpcUpdate {
-    /// The socket stays, with other limits for clients that are still to come.
+    /// The socket stays; new limits apply to clients that connect from now on.
     Reconfigure(JsonRpcConfig),
-    /// Another listener takes the place of the present one, or none does.
+    /// The current listener is replaced by another one, or closed.
     Replace(Option<JsonRpcListener>),
 }
 
 impl JsonRpcUpdate {
-    /// Acquires what a new configuration needs, and leaves the present listener in place.
+    /// Acquires what a new configuration needs, without changing the current listener.
     ///
     /// # Errors
     ///
-    /// Those of [`JsonRpcListener::bind`], or the system's where the socket's file can't be given another
-    /// mode.
+    /// Returns the error of [`JsonRpcListener::bind`], or the system error if the mode of the socket file
+    /// cannot be changed.
     pub(super) fn prepare(
         current: Option<&JsonRpcListener>,
         config: Option<&JsonRpcConfig>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Applies this update to the listener in use.
+    /// Applies the update to the listener in use.
     pub(super) fn apply(self, current: &mut Option<JsonRpcListener>, reactor: &mut Reactor) {
         match self {
             JsonRpcUpdate::Reconfigure(config) => {
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -1,44 +1,46 @@
-//! Limits on memory, descriptors and connections that follow from the configuration.
+//! Limits on memory, descriptors and connections, derived from the configuration.
 
 use crate::backend;
 use crate::config::SchedulerConfig;
 use crate::model::Span;
 use crate::runtime::Reactor;
 
-/// Descriptors kept for the poll, the listeners, the pipes, the watch and the standard streams.
+/// Number of descriptors reserved for the event queue, listeners, pipes, discovery watch and standard
+/// streams.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Of these, so many are for clients that are accepted only to be rejected.
+/// Number of reserved descriptors that are used for clients accepted only to reject their requests.
 const SHEDDING_DESCRIPTORS: usize = 8;
-/// Clients hold at most one in so many descriptors (page PROTOCOL).
+/// Divisor of the number of descriptors that gives the quota of the clients (page PROTOCOL).
 const CLIENT_QUOTA_DIVISOR: usize = 3;
-/// Of the connections that descriptors allow, clients leave one in so many free for workers.
+/// One in this many of the possible connections is kept free of clients, for connections to workers.
 const FREE_CONNECTION_DIVISOR: usize = 8;
-/// Output that waits to be sent, on all connections together, may take one in so many parts of the memory.
+/// Unsent output on all connections together may use one in this many parts of the memory.
 const UNSENT_OUTPUT_DIVISOR: usize = 6;
 const BYTES_PER_MEGABYTE: usize = 1 << 20;
-/// The platform allows this much more for a connect than the settings say.
+/// Time added to the configured connect timeout: the platform's tolerance for a connect.
 const CONNECT_TIMEOUT_ALLOWANCE: Span = Span::from_millis(50);
 
-/// Limits the memory for the bodies of open requests, and that for output which waits to be sent.
+/// Sets the limits on the memory for the bodies of open requests and for unsent output.
 pub(super) fn limit_memory(config: &SchedulerConfig, reactor: &mut Reactor) {
     let memory_bytes = config.memory_mb * BYTES_PER_MEGABYTE;
     reactor.shared.scheduler.set_memory_limit(memory_bytes);
     reactor.max_unsent_bytes = memory_bytes / UNSENT_OUTPUT_DIVISOR;
 }
 
-/// How many clients are accepted.
+/// Limits on the number of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClientLimits {
-    /// So many clients are accepted whatever other connections there are.
+    /// Number of clients that are served regardless of the other connections.
     pub(super) guaranteed: usize,
-    /// The number of connections of any kind from which on a client beyond the guaranteed ones is only accepted in
+    /// Number of connections of any kind from which a client beyond the guaranteed number is served only in
     /// place of an idle connection.
     pub(super) connections: usize,
-    /// The number of connections of any kind from which on a client is not even accepted to be rejected.
+    /// Number of connections of any kind from which a client is not even accepted to be rejected, unless an
+    /// idle connection can be closed for it.
     pub(super) shedding: usize,
 }
 
-/// The limits on clients.
+/// Returns the limits on clients.
 pub(super) fn client_limits(config: &SchedulerConfig) -> ClientLimits {
     let max_connections = max_connections(config);
     ClientLimits {
@@ -48,13 +50,14 @@
     }
 }
 
-/// The clients' quota of the descriptors, which connections to workers leave free.
+/// Returns the guaranteed number of clients: their quota of the descriptors, but at most two thirds of all
+/// connections, which leaves the rest for workers.
 fn guaranteed_clients(config: &SchedulerConfig) -> usize {
     let quota = config.max_descriptors / CLIENT_QUOTA_DIVISOR;
     quota.min(max_connections(config) * 2 / 3)
 }
 
-/// The limits on connections to workers.
+/// Returns the limits on connections to workers.
 pub(super) fn worker_limits(config: &SchedulerConfig) -> backend::Limits {
     let site = &config.site;
     backend::Limits {
@@ -64,7 +67,7 @@
     }
 }
 
-/// The number of connections of any kind that the descriptors allow.
+/// Returns the number of connections of any kind that the descriptors allow.
 fn max_connections(config: &SchedulerConfig) -> usize {
     config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS)
 }
