--- a/src/server/leader.rs
+++ b/src/server/leader.rs
@@ -1,7 +1,7 @@
-//! Leader election: which of several servers on a host accepts requests on the JSON-RPC frontend.
+//! Leader election: decides which of several servers on a host accepts requests on the JSON-RPC frontend.
 //!
-//! The servers elect the active router of one virtual router by VRRP; see [`crate::vrrp`]. Advertisements
-//! travel over UDP between the addresses of the operator's file.
+//! The servers elect the active router of a VRRP virtual router; see [`crate::vrrp`]. Advertisements are
+//! sent over UDP between the addresses that the operator's file lists.
 
 use crate::config::VrrpConfig;
 use crate::model::Time;
@@ -14,18 +14,18 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// Why a datagram is dropped.
+/// The reason for dropping a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 enum DatagramError {
-    /// It comes from an address that the operator's file doesn't list.
-    #[error("not from a peer")]
+    /// The sender's address is not listed in the operator's file.
+    #[error("sender is not a configured peer")]
     UnknownSender,
-    /// It is no valid advertisement.
+    /// The datagram is not a valid advertisement.
     #[error(transparent)]
     Undecodable(#[from] DecodeError),
 }
 
-/// This server's part in the election.
+/// This server's participation in the election.
 pub(super) struct LeaderElection {
     state_machine: StateMachine,
     config: VrrpConfig,
@@ -33,11 +33,11 @@
 }
 
 impl LeaderElection {
-    /// Binds the socket for advertisements. The election begins with [`Event::Startup`].
+    /// Binds the socket for advertisements. The election starts with [`Event::Startup`].
     ///
     /// # Errors
     ///
-    /// The system's, where the address can't be bound.
+    /// Returns the system error if the address cannot be bound.
     pub(super) fn new(config: &VrrpConfig, reactor: &mut Reactor) -> io::Result<LeaderElection> {
         let (socket, address) = reactor.bind_udp(config.bind)?;
         let state_machine = StateMachine::new(vrrp::Configuration {
@@ -53,18 +53,18 @@
         })
     }
 
-    /// The configuration with which the election was joined.
+    /// Returns the configuration with which the server joined the election.
     pub(super) fn config(&self) -> &VrrpConfig {
         &self.config
     }
 
-    /// When [`Event::TimerExpired`] is to be given.
+    /// Returns the time at which [`Event::TimerExpired`] is due.
     pub(super) fn next_timer(&self) -> Option<Time> {
         self.state_machine.next_timer()
     }
 
-    /// Has the state machine handle an event, sends the advertisement that it asks for, and lets the
-    /// connections know whether this server is the active one.
+    /// Passes an event to the state machine, sends the advertisement that it returns, and updates whether
+    /// this server is the active one.
     pub(super) fn handle(&mut self, event: Event, reactor: &mut Reactor) {
         let previous = self.state_machine.state();
         if let Some(advertisement) = self.state_machine.handle(reactor.now(), event) {
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Reads the datagrams that have arrived. What is no advertisement of this virtual router is dropped and
-    /// counted.
+    /// Reads all datagrams that have arrived. Datagrams that are not advertisements of this virtual router
+    /// are dropped and counted.
     pub(super) fn receive(&mut self, socket: UdpSocketId, reactor: &mut Reactor) {
-        // One byte more than the longest message, so that a longer one is not mistaken for it.
+        // One byte more than the longest message, so that a longer datagram is recognized as too long.
         let mut buffer = [0; MAX_MESSAGE_LENGTH + 1];
         while let Some((length, sender)) = reactor.receive_datagram(socket, &mut buffer) {
             match self.decode(&buffer[..length], sender) {
@@ -114,7 +114,7 @@
         Ok(Advertisement::decode(datagram)?)
     }
 
-    /// Sends an advertisement of this priority to all peers.
+    /// Sends an advertisement with this priority to all peers.
     fn advertise(&self, priority: u8, reactor: &Reactor) {
         let message = Advertisement {
             virtual_router_id: self.config.virtual_router_id,
