--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why the server stops without having been asked to.
+//! Errors that prevent the server from starting or stop it.
 
 use crate::config::ConfigError;
 use std::io;
@@ -6,40 +6,42 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the server can't start, or can't go on. Its text is the system's; the variant says what failed.
+/// An error that prevents the server from starting or stops it.
+///
+/// The text of most variants is that of the system error alone; the variant names the operation that failed.
 #[derive(Debug, Error)]
 pub enum ServerError {
-    /// The configuration can't be used.
+    /// The configuration is unreadable or invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The system provides no event queue.
+    /// The event queue cannot be created.
     #[error(transparent)]
     Reactor(io::Error),
-    /// A signal handler or its pipe can't be installed.
+    /// A signal handler or its pipe cannot be installed.
     #[error(transparent)]
     SignalHandlers(io::Error),
-    /// The address for clients can't be bound.
+    /// The listen address cannot be bound.
     #[error("{source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The system error.
         source: io::Error,
     },
-    /// The JSON-RPC frontend's Unix socket can't be bound.
+    /// The Unix socket of the JSON-RPC frontend cannot be bound.
     #[error("{source}")]
     JsonRpcSocket {
         /// The configured path.
         path: PathBuf,
-        /// The system's error, or that the path is in use.
+        /// The system error, or `AddrInUse` if another process listens at the path.
         source: io::Error,
     },
-    /// The address for VRRP advertisements can't be bound.
+    /// The address for VRRP advertisements cannot be bound.
     #[error("{source}")]
     VrrpSocket {
         /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The system error.
         source: io::Error,
     },
     /// Waiting for events failed.
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -1,4 +1,4 @@
-//! Start of the server: sockets and state, from the configuration, for as long as it takes to have them.
+//! Startup of the server: creates its sockets and state from the configuration, retrying transient failures.
 
 use super::accept::Acceptor;
 use super::endpoints::assign_jsonrpc_worker_addresses;
@@ -18,11 +18,11 @@
 use std::time::Instant;
 use tracing::{info, warn};
 
-/// Sets a server up, with retries after transient failures; none if a shutdown is requested meanwhile.
+/// Sets up a server, retrying after transient failures. Returns `None` if a shutdown is requested meanwhile.
 ///
 /// # Errors
 ///
-/// The last one, where it is not transient or lasts for too long.
+/// Returns the last error if it is not transient or the failures persist for [`START_TIMEOUT`].
 pub(super) fn start(sources: &ConfigSources, signals: &Signals) -> Result<Option<Server>, ServerError> {
     let began_at = Instant::now();
     let mut failures = 0u32;
@@ -31,7 +31,7 @@
             Err(error) if is_transient_start_failure(&error) && began_at.elapsed() < START_TIMEOUT => {
                 failures += 1;
                 if failures == 1 {
-                    warn!(cause = error.to_string().as_str(), "start delayed");
+                    warn!(cause = error.to_string().as_str(), "start failed, retrying");
                 }
             }
             result => return result.map(Some),
@@ -44,14 +44,15 @@
     }
 }
 
-/// Whether a start that failed with this error may succeed a moment later.
+/// Returns whether a startup that failed with this error may succeed if retried.
 fn is_transient_start_failure(error: &ServerError) -> bool {
     match error {
         ServerError::Configuration(error) => match &error.problem {
             ConfigProblem::Unreadable { source, .. } => is_transient(source),
             _ => false,
         },
-        // Somebody listens at the path of the JSON-RPC frontend: a second server, not a predecessor.
+        // Another process is listening at the path of the JSON-RPC frontend. It is a second server, not a
+        // predecessor that is about to exit.
         ServerError::JsonRpcSocket { source, .. } => {
             source.kind() != io::ErrorKind::AddrInUse && is_transient(source)
         }
@@ -64,7 +65,7 @@
 }
 
 impl Server {
-    /// Reads the configuration, binds all sockets and sets up the state; nothing is served yet.
+    /// Reads the configuration, binds all sockets and sets up the state. The server does not serve yet.
     fn new(sources: &ConfigSources, signals: &Signals) -> Result<Server, ServerError> {
         let Configuration {
             scheduler: mut config,
@@ -102,7 +103,8 @@
     }
 }
 
-/// Listens for clients; the address, with the port that the system has chosen where the configured one is 0.
+/// Listens for clients. Returns the bound address, with the port that the system chose if the configured one
+/// is 0.
 fn listen(address: SocketAddr, reactor: &mut Reactor) -> Result<SocketAddr, ServerError> {
     reactor
         .listen_tcp(address)
--- a/src/server/startup_settings.rs
+++ b/src/server/startup_settings.rs
@@ -1,8 +1,8 @@
-//! The settings that only take effect at a start: a reload keeps their values.
+//! Settings that take effect only at startup; a reload keeps their values.
 
 use crate::config::{SchedulerConfig, VrrpConfig};
 
-/// A setting that only takes effect at a start.
+/// A setting that takes effect only at startup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartupSetting {
     Listen,
@@ -21,7 +21,7 @@
         StartupSetting::Vrrp,
     ];
 
-    /// Its name in the log.
+    /// Returns the name of the setting in the log.
     pub(super) fn name(self) -> &'static str {
         match self {
             StartupSetting::Listen => "listen",
@@ -33,16 +33,16 @@
     }
 }
 
-/// A configuration, as far as it only takes effect at a start.
+/// The parts of a configuration that take effect only at startup.
 pub(super) struct StartupSettings<'a> {
     /// The platform's configuration.
     pub(super) scheduler: &'a SchedulerConfig,
-    /// The operator's virtual router, if there is one.
+    /// The operator's virtual router, if one is configured.
     pub(super) vrrp: Option<&'a VrrpConfig>,
 }
 
 impl StartupSettings<'_> {
-    /// The settings that have other values in a requested configuration.
+    /// Returns the settings whose values differ in a requested configuration.
     pub(super) fn differing_from(&self, requested: &StartupSettings) -> Vec<StartupSetting> {
         let mut settings = StartupSetting::ALL.to_vec();
         settings.retain(|setting| self.differs(*setting, requested));
@@ -53,7 +53,7 @@
         let current = self.scheduler;
         let new = requested.scheduler;
         match setting {
-            // Port 0 leaves the choice to the system, which has made it.
+            // Port 0 lets the system choose a port, which it did at startup.
             StartupSetting::Listen => new.listen.port() != 0 && new.listen != current.listen,
             StartupSetting::Name => new.name != current.name,
             StartupSetting::Zones => new.site.zones != current.site.zones,
