--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the endpoint list: addresses go to the connection pool, entries to the scheduler.
+//! Applies endpoint updates: addresses go to the connection pool, endpoints to the scheduler.
 
 use super::Server;
 use crate::backend::{Pool, WorkerAddress};
@@ -8,7 +8,8 @@
 use tracing::debug;
 
 impl Server {
-    /// Applies the changes that discovery has received, and has it connect to the discovery service when that is due.
+    /// Applies the updates that discovery has received, and lets discovery reconnect its watch when that is
+    /// due.
     pub(super) fn poll_discovery(&mut self, now: Time) {
         while let Some(change) = self.discovery.next_change() {
             self.apply_endpoint_change(now, change);
@@ -20,14 +21,14 @@
         }
     }
 
-    /// Makes the statically configured workers known at the start.
+    /// Applies the endpoints that are known at startup from the configuration files.
     pub(super) fn apply_initial_endpoints(&mut self) {
         if let Some(change) = self.discovery.initial_change() {
             self.apply_endpoint_change(self.reactor.now(), change);
         }
     }
 
-    /// Discovery's part of a reload: it continues after the last event, at the configured address.
+    /// Reloads discovery: the watch resumes after the last received event, at the configured address.
     pub(super) fn reload_discovery(&mut self, now: Time, known: Vec<WatchEvent>) {
         let moved = self.discovery.set_address(self.config.discovery_service);
         self.poll_discovery(now);
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Replaces the statically configured workers.
+    /// Replaces the workers that the operator's file lists.
     pub(super) fn set_configured_workers(&mut self, now: Time, operator: &OperatorConfig) {
         let configured = assign_jsonrpc_worker_addresses(operator, &self.config.site, &mut self.pool);
         if let Some(change) = self.discovery.set_configured(configured) {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Gives the pool the addresses of the operator's JSON-RPC workers; their entries in the endpoint list.
+/// Sets the addresses of the operator's JSON-RPC workers in the pool, and returns their endpoints.
 pub(super) fn assign_jsonrpc_worker_addresses(
     operator: &OperatorConfig,
     site: &Site,
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -1,7 +1,8 @@
-//! Reload of the configuration files on SIGHUP: validate, then apply, then report what was kept.
+//! Reload of the configuration files on SIGHUP: validates the files, applies them, and logs the settings
+//! that keep their values.
 //!
-//! Both files are read and checked as a whole before anything of them is used; where one is bad, everything
-//! stays as it was. Requests in flight and connections go on in any case.
+//! Both files are read and checked completely before any part of them is applied. If either is invalid,
+//! nothing changes. Requests in flight and open connections continue in any case.
 
 use super::jsonrpc_listener::JsonRpcUpdate;
 use super::leader::LeaderElection;
@@ -15,25 +16,26 @@
 use thiserror::Error;
 use tracing::{debug, info, warn};
 
-/// Delays before a rejected reload is retried. What the signal announced counts as known 4 s after it (page TERMS).
+/// Delays before a rejected reload is retried. A change announced by the signal counts as known 4 s after it
+/// (page TERMS), so the retries end before that.
 const RETRY_BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(100), 4);
-/// How often a rejected reload is retried: for 3.1 s in all.
+/// Maximum number of retries of a rejected reload; with [`RETRY_BACKOFF`] they span 3.1 s.
 const MAX_RETRIES: u32 = 5;
 
-/// Why a reload is rejected.
+/// The reason for rejecting a reload.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// One of the files can't be read or isn't valid.
+    /// One of the files is unreadable or invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// The JSON-RPC frontend's socket can't be bound, or its file can't be given its mode.
+    /// The socket of the JSON-RPC frontend cannot be bound, or the mode of its file cannot be set.
     #[error(transparent)]
     JsonRpcSocket(io::Error),
 }
 
 impl ReloadError {
-    /// Whether the same reload may succeed a moment later: a file cannot be read, or may be half written, or the
-    /// system is short of something.
+    /// Returns whether the same reload may succeed if retried: a file is unreadable or possibly half
+    /// written, or the system is short of a resource.
     fn is_transient(&self) -> bool {
         match self {
             ReloadError::Configuration(error) => matches!(
@@ -45,18 +47,18 @@
     }
 }
 
-/// A configuration that has passed all checks, and what had to be acquired for it.
+/// A validated configuration together with the resources acquired for it.
 struct ValidReload {
     configuration: Configuration,
     jsonrpc: JsonRpcUpdate,
 }
 
-/// A reload that was rejected for a transient reason, and is to be retried.
+/// A pending retry of a reload that was rejected for a transient reason.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReloadRetry {
-    /// When it is retried.
+    /// Time of the retry.
     pub(super) due_at: Time,
-    /// Attempts before that.
+    /// Number of attempts so far.
     earlier_attempts: u32,
 }
 
@@ -66,7 +68,7 @@
         self.try_reload(0);
     }
 
-    /// Retries a rejected reload once that is due.
+    /// Retries a rejected reload if the retry is due.
     pub(super) fn retry_reload(&mut self, now: Time) {
         if let Some(retry) = self.reload_retry.take_if(|retry| retry.due_at <= now) {
             self.try_reload(retry.earlier_attempts);
@@ -111,7 +113,8 @@
         })
     }
 
-    /// Applies a configuration; the settings that keep their values although the files have others.
+    /// Applies a configuration. Returns the settings that keep their current values although the files
+    /// changed them.
     fn apply_reload(&mut self, reload: ValidReload) -> Vec<StartupSetting> {
         let Configuration {
             scheduler: mut config,
@@ -144,7 +147,7 @@
         self.acceptor.set_limits(limits::client_limits(&self.config));
     }
 
-    /// The values in use of the settings that only take effect at a start.
+    /// Returns the current values of the settings that take effect only at startup.
     fn startup_settings(&self) -> StartupSettings<'_> {
         StartupSettings {
             scheduler: &self.config,
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Gives a new configuration the values in use of the settings that only take effect at a start.
+    /// Copies the current values of the settings that take effect only at startup into a new configuration.
     fn keep_startup_settings(&self, config: &mut SchedulerConfig) {
         config.listen = self.config.listen;
         config.name.clone_from(&self.config.name);
--- a/src/server/tests/reload.rs
+++ b/src/server/tests/reload.rs
@@ -1,10 +1,10 @@
-//! Which settings a reload keeps.
+//! Tests that a reload recognizes the settings that take effect only at startup.
 
 use crate::config::{SchedulerConfig, VrrpConfig, parse_operator_config, parse_scheduler_config};
 use crate::server::startup_settings::{StartupSetting, StartupSettings};
 use serde_json::{Value, json};
 
-/// Takes the place of a configured port of which the system has chosen another.
+/// Listen address with port 0, for which the system chooses a port.
 const ANY_PORT: &str = "127.0.0.1:0";
 
 fn scheduler_config(listen: &str, name: &str, zones: Value, kinds: Value) -> SchedulerConfig {
@@ -38,7 +38,7 @@
     parse_operator_config(&document).unwrap().vrrp.unwrap()
 }
 
-/// The names of the settings in which a requested configuration differs from the one in use.
+/// Returns the names of the settings that differ between the current and a requested configuration.
 fn differing_settings(requested: &StartupSettings) -> Vec<&'static str> {
     let scheduler = default_config("127.0.0.1:80");
     let vrrp = vrrp_config(100);
