--- a/src/server/shutdown.rs
+++ b/src/server/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: clients are asked to leave, what they still send is served, and the last responses are
-//! written before the program ends. `shutdown_phases` says when each step is due.
+//! Graceful shutdown: clients are told to stop sending, requests that still arrive are served, and the last
+//! responses are written before the program exits. `shutdown_phases` defines when each step is due.
 
 use super::Server;
 use super::shutdown_phases::{PendingWork, Shutdown, ShutdownPhase};
@@ -9,8 +9,8 @@
 use tracing::info;
 
 impl Server {
-    /// Begins a graceful shutdown, unless one has begun: the server is no longer ready, and clients are asked
-    /// to send no new requests.
+    /// Starts a graceful shutdown unless one has started: the server is no longer ready, and clients are
+    /// told to send no new requests.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown.is_some() {
             return;
@@ -26,13 +26,13 @@
         frontend::notify_draining(&mut self.reactor);
     }
 
-    /// When [`Server::advance_shutdown`] has something to do although nothing else happens.
+    /// Returns the time at which [`Server::advance_shutdown`] is due if nothing else happens before.
     pub(super) fn shutdown_timer(&self) -> Option<Time> {
         let shutdown = self.shutdown.as_ref()?;
         shutdown.next_timer(self.reactor.now(), self.reactor.has_unsent_output())
     }
 
-    /// Moves a shutdown on; true once it is complete.
+    /// Advances the shutdown. Returns true once it is complete.
     pub(super) fn advance_shutdown(&mut self) -> bool {
         let now = self.reactor.now();
         while let Some(phase) = self.enter_next_shutdown_phase(now) {
@@ -54,8 +54,8 @@
         false
     }
 
-    /// A client that goes on sending must not put the end off: each request from now on ends before the process is
-    /// killed.
+    /// Limits the deadline of requests that arrive from now on to a time before the process may be killed,
+    /// so that a client that keeps sending cannot delay the shutdown.
     fn limit_late_requests(&mut self) {
         if let Some(shutdown) = &self.shutdown {
             let ends_at = shutdown.late_requests_end();
--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -1,70 +1,72 @@
-//! The phases of a graceful shutdown, and what ends each of them.
+//! The phases of a graceful shutdown and the conditions that end them.
 //!
-//! SIGTERM only announces the end. The platform's protocol page says that new connections keep coming for some 0.4 s after
-//! it and requests for 0.2 s more, and that the program is killed no sooner than 0.7 s after the longest deadline, which
-//! counts as 3 s where it is longer. Clients may go on sending on open connections until then.
+//! SIGTERM only announces the end. According to the page PROTOCOL, new connections keep arriving for about
+//! 0.4 s after it and requests for another 0.2 s, and the process is killed no earlier than 0.7 s after the
+//! longest deadline, which counts as at most 3 s. Until then, clients may keep sending on open connections.
 
 use crate::model::{Span, Time};
 
-/// Time from the beginning until clients are notified again: those that have connected since. The answer to a request
-/// that comes later is owed even if the process is killed (page PROTOCOL).
+/// Delay from the start of the shutdown until clients are notified again, for those that have connected
+/// since. Requests that arrive later must be answered even if the process is about to be killed (page
+/// PROTOCOL).
 const SECOND_NOTICE_DELAY: Span = Span::from_millis(700);
-/// Time from the beginning during which clients may still come; the program ends no sooner, unless it may be killed
-/// before.
+/// Time from the start of the shutdown during which clients may still connect. The process does not exit
+/// earlier, unless it may be killed earlier.
 const GRACE_PERIOD: Span = Span::from_millis(1_200);
-/// The program may be killed so long after the longest deadline (page PROTOCOL).
+/// Delay after the longest deadline before the process may be killed (page PROTOCOL).
 const KILL_DELAY: Span = Span::from_millis(700);
-/// The longest deadline counts as no more than this (page PROTOCOL).
+/// Upper bound on the longest deadline for the time of the kill (page PROTOCOL).
 const MAX_LONGEST_DEADLINE: Span = Span::from_millis(3_000);
-/// How long before the kill requests that come late have ended, so that their responses can be written.
+/// Time before the kill by which late requests have ended, so that their responses can still be written.
 const LATE_REQUESTS_MARGIN: Span = Span::from_millis(300);
-/// How long before the kill the program ends, if no request is open then.
+/// Time before the kill at which the process exits if no request is open.
 const EXIT_MARGIN: Span = Span::from_millis(100);
-/// How long responses may take to be written once no request is open.
+/// Maximum time for writing the remaining responses once no request is open.
 const FLUSH_TIMEOUT: Span = Span::from_millis(500);
 
-/// How far a shutdown has come. Requests are answered in every phase.
+/// A phase of a shutdown. Requests are answered in every phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
-    /// Clients that don't know of the shutdown still connect, and their requests are served.
+    /// Clients that are not aware of the shutdown still connect, and their requests are served.
     LateConnections,
-    /// All clients have been notified; what they still send is served in the time that is left.
+    /// All clients have been notified. Requests that still arrive are served in the remaining time.
     LateRequests,
-    /// Requests are open.
+    /// Requests are still open.
     Draining,
-    /// No request is open; responses are being written.
+    /// No request is open; the remaining responses are being written.
     Flushing {
-        /// When writing is given up.
+        /// Time at which unwritten output is abandoned.
         deadline: Time,
     },
-    /// The program may end.
+    /// The process may exit.
     Complete,
 }
 
-/// What the server still has to do, as far as a shutdown depends on it.
+/// The server's remaining work, as far as a shutdown depends on it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingWork {
-    /// Requests that have no final response yet.
+    /// Number of requests without a final response.
     pub(super) open_requests: usize,
-    /// Output waits to be written on some connection.
+    /// Whether any connection has unsent output.
     pub(super) has_unsent_output: bool,
-    /// The last poll of the sockets found nothing to read.
+    /// Whether the last poll found no socket with input.
     pub(super) last_poll_was_empty: bool,
 }
 
-/// A shutdown that has begun.
+/// A shutdown in progress.
 #[derive(Debug)]
 pub(super) struct Shutdown {
     began_at: Time,
-    /// When the program may be killed at the earliest.
+    /// Earliest time at which the process may be killed.
     earliest_kill_at: Time,
     phase: ShutdownPhase,
-    /// Since when no request has been open; none while one is.
+    /// Time since which no request has been open; `None` while one is open.
     drained_at: Option<Time>,
 }
 
 impl Shutdown {
-    /// A shutdown that begins at `now`, with all clients notified, where no request has a longer deadline.
+    /// Creates a shutdown that starts at `now`. All clients have been notified, and no request has a longer
+    /// deadline than `longest_deadline`.
     pub(super) fn new(now: Time, longest_deadline: Span) -> Shutdown {
         Shutdown {
             began_at: now,
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Moves on by one phase if the present one has ended, and gives the phase that was entered. To be called
-    /// until it gives none.
+    /// Enters the next phase if the current one has ended, and returns it. Callers repeat this until it
+    /// returns `None`.
     pub(super) fn advance(&mut self, now: Time, pending_work: PendingWork) -> Option<ShutdownPhase> {
         self.drained_at = match pending_work.open_requests {
             0 => self.drained_at.or(Some(now)),
@@ -85,7 +87,7 @@
         Some(self.phase)
     }
 
-    /// What ends each phase, and which one follows.
+    /// Returns the phase that follows the current one, or `None` if the current one has not ended.
     fn next_phase(&self, now: Time, pending_work: PendingWork) -> Option<ShutdownPhase> {
         match self.phase {
             ShutdownPhase::LateConnections => {
@@ -94,16 +96,16 @@
             ShutdownPhase::LateRequests => (now >= self.grace_end()).then_some(ShutdownPhase::Draining),
             ShutdownPhase::Draining => {
                 let drained_at = self.drained_at?;
-                // The last response may come as late as its request allows: the time to write it counts from
-                // then.
+                // A request may end as late as its deadline allows, so the time for writing its response
+                // starts then.
                 let deadline = self.flush_deadline(drained_at.max(self.grace_end()));
                 Some(ShutdownPhase::Flushing { deadline })
             }
             ShutdownPhase::Flushing { .. } if self.drained_at.is_none() => Some(ShutdownPhase::Draining),
             ShutdownPhase::Flushing { deadline } => {
-                // A request may wait unread behind responses that have just been written. Closing its
-                // connection would also take from the client what it has not read yet, so the sockets are
-                // polled once more.
+                // A request may be waiting unread behind responses that have just been written. Closing its
+                // connection would also discard what the client has not read yet, so the sockets are polled
+                // once more.
                 let is_flushed = !pending_work.has_unsent_output && pending_work.last_poll_was_empty;
                 (is_flushed || now >= deadline).then_some(ShutdownPhase::Complete)
             }
@@ -111,7 +113,7 @@
         }
     }
 
-    /// When to advance although nothing happens on the connections.
+    /// Returns the time at which to advance if nothing happens on the connections.
     pub(super) fn next_timer(&self, now: Time, has_unsent_output: bool) -> Option<Time> {
         match self.phase {
             ShutdownPhase::LateConnections => Some(self.second_notice_at()),
@@ -122,13 +124,13 @@
         }
     }
 
-    /// When requests that come from the late notice on have to have ended.
+    /// Returns the time by which requests that arrive after the second notice must end.
     pub(super) fn late_requests_end(&self) -> Time {
         self.earliest_kill_at - LATE_REQUESTS_MARGIN
     }
 
-    /// When writing is given up that begins then. A client that sends without a pause must not hold the end up beyond
-    /// the kill.
+    /// Returns the time at which writing that starts at `begins_at` is abandoned. It precedes the kill, so
+    /// that a client that sends continuously cannot delay the exit.
     fn flush_deadline(&self, begins_at: Time) -> Time {
         let deadline = begins_at + FLUSH_TIMEOUT;
         if begins_at < self.earliest_kill_at {
--- a/src/server/tests/shutdown.rs
+++ b/src/server/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! The phases of a graceful shutdown.
+//! Tests of the phases of a graceful shutdown.
 
 use crate::model::{Span, Time};
 use crate::server::shutdown_phases::{PendingWork, Shutdown, ShutdownPhase};
@@ -23,7 +23,7 @@
     ..IDLE
 };
 
-/// The time so many milliseconds after the beginning.
+/// Returns the time this many milliseconds after the start of the shutdown.
 fn after(milliseconds: u64) -> Time {
     BEGAN_AT + Span::from_millis(milliseconds)
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Advances until nothing changes; the phases entered.
+/// Advances the shutdown until its phase no longer changes, and returns the phases entered.
 fn advance(shutdown: &mut Shutdown, milliseconds: u64, pending_work: PendingWork) -> Vec<ShutdownPhase> {
     std::iter::from_fn(|| shutdown.advance(after(milliseconds), pending_work)).collect()
 }
@@ -151,7 +151,7 @@
     );
 }
 
-/// The kill comes 0.7 s after the longest deadline, which counts as 3 s at most.
+/// The process may be killed 0.7 s after the longest deadline, which counts as at most 3 s.
 #[test]
 fn a_shutdown_ends_before_the_process_may_be_killed() {
     for (longest_deadline, killed_after) in [(300, 1_000), (1_000, 1_700), (3_000, 3_700), (60_000, 3_700)] {
@@ -160,7 +160,7 @@
             shutdown.late_requests_end() < after(killed_after),
             "{longest_deadline}"
         );
-        // A client sends without a pause, and its requests are answered at once.
+        // A client sends continuously, and its requests are answered immediately.
         let phases = advance(&mut shutdown, killed_after - 50, BUSY_SOCKETS);
         let last = phases.last().copied();
         let is_over = last == Some(ShutdownPhase::Complete)
