--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,10 +1,10 @@
-//! The server: the event loop that joins the scheduler with its frontends, its workers, discovery and
+//! The server: the event loop that connects the scheduler with its frontends, workers, discovery and
 //! signals.
 //!
-//! [`run`] serves until a signal ends it. Each turn of the loop waits for sockets, signals and timers, and
-//! then acts on everything that has become due. `startup` sets the server up, `accept` accepts clients,
-//! `endpoints` applies changes of the endpoint list, `reload` and `shutdown` handle SIGHUP and SIGTERM, and
-//! `leader` decides by VRRP which of several servers accepts requests on the JSON-RPC frontend.
+//! [`run`] serves until a signal stops it. Each iteration of the loop waits for sockets, signals and timers,
+//! and then handles everything that is due. `startup` sets up the server, `accept` accepts clients,
+//! `endpoints` applies endpoint updates, `reload` and `shutdown` handle SIGHUP and SIGTERM, and `leader`
+//! decides by VRRP which of several servers accepts requests on the JSON-RPC frontend.
 
 mod accept;
 mod endpoints;
@@ -43,12 +43,12 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use tracing::{error, info};
 
-/// Reads the configuration and serves until a signal ends it.
+/// Reads the configuration and serves until a signal stops the server.
 ///
 /// # Errors
 ///
-/// [`ServerError`] where the configuration can't be used, a socket can't be had at the start, or the system no
-/// longer reports events.
+/// Returns a [`ServerError`] if the configuration is invalid, a socket cannot be opened at startup, or
+/// waiting for events fails.
 pub fn run(sources: &ConfigSources, signals: &Signals) -> Result<(), ServerError> {
     match startup::start(sources, signals)? {
         Some(mut server) => server.serve(),
@@ -57,21 +57,21 @@
 }
 
 struct Server {
-    /// The files that a reload reads.
+    /// Files that a reload reads.
     sources: ConfigSources,
-    /// Owns the scheduler, which its connections share.
+    /// Owns the scheduler, which all connections share.
     reactor: Reactor,
     pool: Pool,
-    /// The platform's configuration in use, without its events, which discovery has.
+    /// The platform's configuration in use, without its endpoint events, which are passed to discovery.
     config: SchedulerConfig,
     discovery: Discovery,
     acceptor: Acceptor,
-    /// Without it this server always accepts requests on the JSON-RPC frontend.
+    /// Without an election, this server always accepts requests on the JSON-RPC frontend.
     leader_election: Option<LeaderElection>,
     signals: SignalPipes,
-    /// A rejected reload that is to be retried.
+    /// Retry of a rejected reload, if one is pending.
     reload_retry: Option<ReloadRetry>,
-    /// The graceful shutdown, once one has begun.
+    /// The graceful shutdown, once it has started.
     shutdown: Option<Shutdown>,
 }
 
@@ -97,7 +97,7 @@
         );
     }
 
-    /// One turn of the event loop; true once a shutdown is complete.
+    /// Runs one iteration of the event loop. Returns true once a shutdown is complete.
     fn run_iteration(&mut self) -> Result<bool, ServerError> {
         let deadline = self.next_timer();
         let events = self.reactor.poll(deadline).map_err(ServerError::Poll)?;
@@ -112,7 +112,7 @@
         Ok(self.advance_shutdown())
     }
 
-    /// When the loop has something to do although no socket and no signal wakes it.
+    /// Returns the time until which the loop may wait if no socket and no signal wakes it.
     fn next_timer(&self) -> Option<Time> {
         let election_timer = self.leader_election.as_ref().and_then(LeaderElection::next_timer);
         let timers = [
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Applies changes of the endpoint list, fires the scheduler's timers, and carries out its commands until
-    /// there is none left. A panic in one of these stops none of the others.
+    /// Applies endpoint updates, fires the scheduler's timers and executes all its commands. A panic in one
+    /// of these steps does not prevent the others.
     fn run_due_work(&mut self) {
         let now = self.reactor.now();
         self.catch_panic("discovery", |server| server.poll_discovery(now));
@@ -181,8 +181,8 @@
         self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
     }
 
-    /// Does a part of the work. A panic there concerns no connection that could be closed for it; what it leaves
-    /// undone is ended by the requests' deadlines.
+    /// Runs one part of the work and catches its panic. No connection can be closed for such a panic;
+    /// requests that it leaves unfinished end at their deadlines.
     fn catch_panic(&mut self, part: &str, work: impl FnOnce(&mut Server)) {
         if catch_unwind(AssertUnwindSafe(|| work(self))).is_err() {
             self.reactor.shared.scheduler.counters().panics += 1;
--- a/src/server/signals.rs
+++ b/src/server/signals.rs
@@ -9,14 +9,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a signal asks of the server.
+/// An action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalRequest {
-    /// SIGTERM, SIGINT: a graceful shutdown.
+    /// Graceful shutdown (SIGTERM, SIGINT).
     Shutdown,
-    /// SIGUSR1: a log line with the counters.
+    /// Log line with the counters (SIGUSR1).
     PrintCounters,
-    /// SIGHUP: a reload of the configuration files.
+    /// Reload of the configuration files (SIGHUP).
     Reload,
 }
 
@@ -27,7 +27,7 @@
         SignalRequest::Reload,
     ];
 
-    /// The signals that stand for this request.
+    /// Returns the signals that request this action.
     fn signals(self) -> &'static [i32] {
         match self {
             SignalRequest::Shutdown => &[SIGTERM, SIGINT],
@@ -37,7 +37,7 @@
     }
 }
 
-/// The reading end of the pipe to which the signals of one request write a byte each.
+/// The reading end of a pipe to which the handlers of one request's signals write one byte per signal.
 #[derive(Debug)]
 struct SignalReceiver {
     request: SignalRequest,
@@ -46,19 +46,19 @@
 
 /// The handlers of all signals that the server handles.
 ///
-/// They are to be installed before anything else: a signal without a handler ends the process. What arrives before
-/// the event loop runs is kept for it.
+/// They must be installed before anything else, because a signal without a handler terminates the process.
+/// Signals that arrive before the event loop runs are kept in the pipes.
 #[derive(Debug)]
 pub struct Signals {
     receivers: Vec<SignalReceiver>,
 }
 
 impl Signals {
-    /// Installs the handlers, with retries after transient failures.
+    /// Installs the handlers, retrying after transient failures.
     ///
     /// # Errors
     ///
-    /// The system's, where it provides no pipe or installs no handler.
+    /// Returns the system error if a pipe cannot be created or a handler cannot be installed.
     pub fn install() -> io::Result<Signals> {
         let began_at = Instant::now();
         loop {
@@ -80,7 +80,8 @@
         Ok(Signals { receivers })
     }
 
-    /// Waits until a shutdown is asked for, or this time has passed; whether one is asked for.
+    /// Waits until a shutdown is requested or the timeout has passed. Returns whether a shutdown is
+    /// requested.
     pub(super) fn wait_for_shutdown(&self, timeout: Duration) -> io::Result<bool> {
         let is_shutdown = |receiver: &&SignalReceiver| receiver.request == SignalRequest::Shutdown;
         let Some(receiver) = self.receivers.iter().find(is_shutdown) else {
@@ -91,11 +92,11 @@
         Ok((&receiver.reader).read(&mut [0]).is_ok_and(|count| count > 0))
     }
 
-    /// Has the reactor watch the pipes.
+    /// Registers the pipes with the reactor.
     ///
     /// # Errors
     ///
-    /// The system's, where a pipe cannot be had or polled.
+    /// Returns the system error if a pipe cannot be cloned or registered.
     pub(super) fn watch(&self, reactor: &mut Reactor) -> io::Result<SignalPipes> {
         let mut pipes = Vec::new();
         for receiver in &self.receivers {
@@ -109,7 +110,7 @@
     }
 }
 
-/// The reading end of a pipe to which each of these signals writes a byte.
+/// Installs handlers that write one byte per signal to a new pipe, and returns the pipe's reading end.
 fn signal_pipe(signals: &[i32]) -> io::Result<UnixStream> {
     let (reader, writer) = UnixStream::pair()?;
     writer.set_nonblocking(true)?;
@@ -119,21 +120,21 @@
     Ok(reader)
 }
 
-/// The pipe on which one request arrives.
+/// A pipe in the reactor and the request that it delivers.
 #[derive(Debug)]
 struct SignalPipe {
     pipe: PipeId,
     request: SignalRequest,
 }
 
-/// The pipes of all signals, as the reactor watches them.
+/// The signal pipes that the reactor watches.
 #[derive(Debug)]
 pub(super) struct SignalPipes {
     pipes: Vec<SignalPipe>,
 }
 
 impl SignalPipes {
-    /// What is asked for when this pipe becomes readable; `None` if it is no signal's pipe.
+    /// Returns the request that this pipe delivers, or `None` if it is not a signal pipe.
     pub(super) fn request_of(&self, pipe: PipeId) -> Option<SignalRequest> {
         let signal_pipe = self.pipes.iter().find(|signal_pipe| signal_pipe.pipe == pipe)?;
         Some(signal_pipe.request)
--- a/src/server/tests/mod.rs
+++ b/src/server/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the server's parts that need no sockets.
+//! Unit tests of the server's modules that work without sockets.
 
 mod reload;
 mod shutdown;
