--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -63,10 +63,10 @@
 
 /// State shared by all connections of a reactor, to which the reactor reports its own faults.
 pub trait SharedState {
-    /// Reports that a panic was caught in a callback of a connection.
+    /// Called when a panic was caught in a callback of a connection.
     fn panic_caught(&mut self);
 
-    /// Reports that registering a connection for its events failed; the reactor retries the registration.
+    /// Called when registering a connection for its events failed. The reactor retries the registration.
     fn registration_failed(&mut self);
 }
 
@@ -86,10 +86,10 @@
 /// The supertrait `Any` lets code that added a connection of a concrete type access it again as that type,
 /// with [`Reactor::connection`](super::Reactor::connection).
 pub trait Connection<S>: Any {
-    /// Handles that the stream has been connected.
+    /// Called when the stream has been connected.
     fn opened(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
-    /// Handles new input in the stream's buffer, or that the peer has closed its half.
+    /// Called when there is new input in the stream's buffer or the peer has closed its half.
     fn received(&mut self, socket: &mut BufferedStream, context: &mut Context<S>) -> ConnectionFlow;
 
     /// Returns whether output that the system did not accept immediately may still be sent. If not, the
@@ -98,22 +98,23 @@
         true
     }
 
-    /// Handles that all output has been passed to the system.
+    /// Called when all output has been passed to the system.
     fn flushed(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    /// Handles that the time returned by [`Connection::deadline`] has passed.
+    /// Called when the time returned by [`Connection::deadline`] has passed.
     fn timer_expired(&mut self, _socket: &mut BufferedStream, _context: &mut Context<S>) -> ConnectionFlow {
         ConnectionFlow::Continue
     }
 
-    /// Returns the time at which to call [`Connection::timer_expired`]. Called after every callback.
+    /// Returns the time at which to call [`Connection::timer_expired`]. The reactor asks for it after every
+    /// callback.
     fn deadline(&self) -> Option<Time> {
         None
     }
 
-    /// Handles that the connection has been closed by either side. Called once.
+    /// Called once, when the connection has been closed by either side.
     fn closed(&mut self, socket: &BufferedStream, cause: CloseCause, context: &mut Context<S>);
 
     /// Returns the time since which the connection has had no open request, so that it may be closed to free
@@ -122,7 +123,7 @@
         None
     }
 
-    /// Returns whether the peer is a client. Called once, when the connection is added.
+    /// Returns whether the peer is a client. The reactor asks once, when the connection is added.
     fn is_client(&self) -> bool {
         false
     }
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -87,8 +87,8 @@
         })
     }
 
-    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after the
-    /// responses that its client is owed have been written.
+    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after
+    /// sending the responses that its client is owed.
     pub(super) fn call(
         &mut self,
         context: &mut Context<S>,
@@ -179,8 +179,8 @@
         self.read_input(flow, context)
     }
 
-    /// Reads until the socket is empty, as edge-triggered events require, but pauses for the connection's
-    /// own work and for other connections.
+    /// Reads until the socket is empty, as edge-triggered events require, alternating with the connection's
+    /// own processing and yielding to other connections.
     fn read_input(
         &mut self,
         mut flow: ConnectionFlow,
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -61,8 +61,8 @@
         };
     }
 
-    /// Returns whether a connect has succeeded, or `false` if it is still in progress. An error means that
-    /// it has failed.
+    /// Returns whether a connect has succeeded. `false` means that it is still in progress, and an error
+    /// that it has failed.
     pub(super) fn connect_finished(&self) -> io::Result<bool> {
         let (error, peer) = match self {
             Stream::Tcp(stream) => (stream.take_error()?, stream.peer_addr().map(drop)),
