--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -41,7 +41,7 @@
         _context: &mut Context<ReportCounts>,
     ) -> ConnectionFlow {
         let bytes = std::mem::take(&mut socket.input);
-        assert!(!bytes.contains(&b'!'), "as the test wants");
+        assert!(!bytes.contains(&b'!'), "intentional panic");
         socket.enqueue(&bytes);
         ConnectionFlow::Continue
     }
@@ -116,7 +116,7 @@
         _socket: &mut BufferedStream,
         _context: &mut Context<ReportCounts>,
     ) -> ConnectionFlow {
-        panic!("as the test wants");
+        panic!("intentional panic");
     }
 
     fn closed(&mut self, _socket: &BufferedStream, _cause: CloseCause, _context: &mut Context<ReportCounts>) {
