--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -52,7 +52,7 @@
         self.limits = limits;
     }
 
-    /// Acquires what a new configuration of the JSON-RPC frontend needs, without changing the current
+    /// Acquires what a new configuration of the JSON-RPC frontend needs, without replacing the current
     /// listener.
     ///
     /// # Errors
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Applies the endpoints that are known at startup from the configuration files.
+    /// Applies the statically configured endpoints at startup.
     pub(super) fn apply_initial_endpoints(&mut self) {
         if let Some(change) = self.discovery.initial_change() {
             self.apply_endpoint_change(self.reactor.now(), change);
--- a/src/server/jsonrpc_listener.rs
+++ b/src/server/jsonrpc_listener.rs
@@ -51,7 +51,7 @@
 }
 
 impl JsonRpcUpdate {
-    /// Acquires what a new configuration needs, without changing the current listener.
+    /// Acquires what a new configuration needs, without replacing the current listener.
     ///
     /// # Errors
     ///
--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -129,8 +129,9 @@
         self.earliest_kill_at - LATE_REQUESTS_MARGIN
     }
 
-    /// Returns the time at which writing that starts at `begins_at` is abandoned. It precedes the kill, so
-    /// that a client that sends continuously cannot delay the exit.
+    /// Returns the time at which writing that starts at `begins_at` is abandoned. If writing starts before
+    /// the earliest kill, the deadline is at most the last exit time, so that a client that sends
+    /// continuously cannot delay the exit beyond the kill.
     fn flush_deadline(&self, begins_at: Time) -> Time {
         let deadline = begins_at + FLUSH_TIMEOUT;
         if begins_at < self.earliest_kill_at {
