--- a/src/client.rs
+++ b/src/client.rs
@@ -81,7 +81,7 @@
 /// A completed request and its response.
 #[derive(Clone, Debug)]
 pub struct CompletedRequest {
-    /// The request.
+    /// The id of the request.
     pub request: SubmittedRequestId,
     /// Its final response.
     pub response: Response,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! A request scheduler for serverless functions: it places each request on a worker, orders workers to load
-//! and unload functions, and gives each request one final response before its deadline.
+//! A scheduler of requests for functions: it places each request on a worker, has workers load and unload the
+//! functions that are called, and gives each request one final response in time.
 //!
 //! # Layers
 //!
@@ -20,7 +20,7 @@
 //! - [`logging`] writes the log of the process without blocking the event loop.
 //! - [`simulator_codec`] implements the simulator's protocol, over which the second program serves the same
 //!   policy.
-//! - [`vrrp`] elects one of several servers. Like the policy, it performs no I/O.
+//! - [`vrrp`] elects one of several servers. Like the policy, it has no clock and performs no I/O.
 //!
 //! # The policy
 //!
