--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -13,7 +13,7 @@
 /// `mark` of `WAKE_ME`: the policy keeps its own timers and needs no mark.
 const TIMER_MARK: u32 = 0;
 /// Bytes of the field with a record's length.
-const LENGTH_FIELD: usize = 4;
+const LENGTH_FIELD_SIZE: usize = 4;
 
 /// The reply to one batch, under construction.
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
         self.record_count += 1;
         self.records.push(code as u8);
         let length_at = self.records.len();
-        let fields_at = length_at + LENGTH_FIELD;
+        let fields_at = length_at + LENGTH_FIELD_SIZE;
         self.records.resize(fields_at, 0);
         let mut fields = FieldWriter {
             bytes: &mut self.records,
