--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -26,7 +26,7 @@
     /// Appends an action of an instance.
     pub fn add_action(&mut self, instance: InstanceId, action: &Action) {
         self.add_record(ActionCode::from(action), instance, |fields| {
-            put_action(fields, action)
+            encode_action(fields, action)
         });
     }
 
@@ -74,7 +74,7 @@
 }
 
 /// Writes the fields of an action in their order on the wire page, without the instance.
-fn put_action(fields: &mut FieldWriter, action: &Action) {
+fn encode_action(fields: &mut FieldWriter, action: &Action) {
     match action {
         Action::Send { id, worker, timeout } => fields.u32(id.0).u64(timeout.0).worker(*worker),
         Action::Cancel { id, attempt } => fields.u32(id.0).u16(*attempt),
