--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -58,7 +58,12 @@
         bytes
     }
 
-    fn add_record(&mut self, code: ActionCode, instance: InstanceId, put: impl FnOnce(&mut FieldWriter)) {
+    fn add_record(
+        &mut self,
+        code: ActionCode,
+        instance: InstanceId,
+        encode_fields: impl FnOnce(&mut FieldWriter),
+    ) {
         self.record_count += 1;
         self.records.push(code as u8);
         let length_at = self.records.len();
@@ -67,7 +72,7 @@
         let mut fields = FieldWriter {
             bytes: &mut self.records,
         };
-        put(fields.u16(instance.0));
+        encode_fields(fields.u16(instance.0));
         let length = (self.records.len() - fields_at) as u32;
         self.records[length_at..fields_at].copy_from_slice(&length.to_be_bytes());
     }
