--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -67,14 +67,14 @@
         self.record_count += 1;
         self.records.push(code as u8);
         let length_offset = self.records.len();
-        let fields_at = length_offset + LENGTH_FIELD_SIZE;
-        self.records.resize(fields_at, 0);
+        let fields_offset = length_offset + LENGTH_FIELD_SIZE;
+        self.records.resize(fields_offset, 0);
         let mut fields = FieldWriter {
             bytes: &mut self.records,
         };
         encode_fields(fields.u16(instance.0));
-        let length = (self.records.len() - fields_at) as u32;
-        self.records[length_offset..fields_at].copy_from_slice(&length.to_be_bytes());
+        let length = (self.records.len() - fields_offset) as u32;
+        self.records[length_offset..fields_offset].copy_from_slice(&length.to_be_bytes());
     }
 }
 
