--- a/src/simulator_codec/cursor.rs
+++ b/src/simulator_codec/cursor.rs
@@ -39,7 +39,7 @@
         let Some(field) = rest.get(..count) else {
             return Err(WireError::RecordCutShort {
                 record: self.location,
-                wanted: count,
+                field_length: count,
                 offset: self.offset,
                 available: self.bytes.len(),
             });
--- a/src/simulator_codec/error.rs
+++ b/src/simulator_codec/error.rs
@@ -54,12 +54,12 @@
         length: usize,
     },
     /// A record ends inside one of its fields.
-    #[error("{record}: {wanted} bytes wanted at its byte {offset}, it has {available}")]
+    #[error("{record}: {field_length} bytes wanted at its byte {offset}, it has {available}")]
     RecordCutShort {
         /// The record.
         record: RecordLocation,
         /// Bytes of the field.
-        wanted: usize,
+        field_length: usize,
         /// Where the field starts, in bytes from the first field.
         offset: usize,
         /// Bytes of all fields of the record.
