--- a/src/simulator_codec/codes.rs
+++ b/src/simulator_codec/codes.rs
@@ -83,7 +83,7 @@
 /// A value that is encoded in a field of one byte.
 pub(super) trait FieldCode: Sized {
     /// What an error calls the field.
-    const FIELD: &'static str;
+    const FIELD_NAME: &'static str;
 
     /// The value with this code, if there is one.
     fn from_code(code: u8) -> Option<Self>;
@@ -94,7 +94,7 @@
     ($(#[$doc:meta])* $type:ident $field:literal { $($code:literal => $variant:ident,)* }) => {
         $(#[$doc])*
         impl FieldCode for $type {
-            const FIELD: &'static str = $field;
+            const FIELD_NAME: &'static str = $field;
 
             fn from_code(code: u8) -> Option<$type> {
                 match code {
--- a/src/simulator_codec/cursor.rs
+++ b/src/simulator_codec/cursor.rs
@@ -88,7 +88,7 @@
         let code = self.u8()?;
         let unknown = WireError::UnknownCode {
             record: self.location,
-            field: T::FIELD,
+            field: T::FIELD_NAME,
             code,
             offset,
         };
