--- a/tests/simulator/actions.rs
+++ b/tests/simulator/actions.rs
@@ -6,7 +6,7 @@
 use function_scheduler::{Action, RejectionCause, Span};
 
 #[test]
-fn actions_are_encoded_as_the_wire_page_writes_them() {
+fn actions_are_encoded_in_the_wire_format() {
     let actions = [
         Action::Send {
             id: REQUEST,
