--- a/tests/simulator/actions.rs
+++ b/tests/simulator/actions.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_fault_is_encoded_as_the_wire_page_writes_it() {
+fn a_fault_is_encoded_in_the_wire_format() {
     let mut reply = Reply::default();
     reply.add_fault(INSTANCE, "index out of range");
     let expected = "00000001 0000001b 03 00000016 0003 0012 696e646578206f7574206f662072616e6765";
