--- a/tests/simulator/actions.rs
+++ b/tests/simulator/actions.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_text_of_a_fault_is_cut_after_a_thousand_bytes() {
+fn the_text_of_a_fault_is_truncated_to_1000_bytes() {
     let mut reply = Reply::default();
     reply.add_fault(INSTANCE, &"x".repeat(1001));
     let bytes = reply.into_bytes();
