--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -6,7 +6,7 @@
 use function_scheduler::*;
 
 #[test]
-fn endpoint_records_are_decoded_as_the_wire_page_writes_them() {
+fn endpoint_records_are_decoded_from_the_wire_format() {
     let roster = "0c 00000034 0000 00000002 00 0000 00 0a124a07 1f43 3f800000 0000000000000000 00 \
          01 0000 00 0a9011f2 1f6c 3fc00000 000000016b969d00 00";
     let sync = "02 00000009 0003 00000029 02 0000";
