--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn request_and_outcome_records_are_decoded_as_the_wire_page_writes_them() {
+fn request_and_outcome_records_are_decoded_from_the_wire_format() {
     let answer = "05 0000001a 0003 5d3a91c4 0000 0a124a07 1f43 00 00000000011a49a0 01 19 00";
     let probe_result = "08 0000001e 0003 0000000000155cc0 04 0a9011f2 1f6c 03 3f1eb8523ecccccd3fa00000";
     let [
