--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn timer_client_and_load_records_are_decoded_as_the_wire_page_writes_them() {
+fn timer_client_and_load_records_are_decoded_from_the_wire_format() {
     let timer = "07 00000006 0003 0000004d";
     let cancelled_by_client = "06 00000006 0003 0e6f2b19";
     let stands = "0b 0000001a 0003 01 0a9011f2 1f6c 000000002625a000 00 0000007c55d20a01";
