--- a/tests/simulator/program.rs
+++ b/tests/simulator/program.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn settings_that_lack_a_rule_are_a_fault_that_names_it() {
+fn invalid_settings_are_a_fault_and_a_missing_key_is_named() {
     assert!(config::parse_settings(SETTINGS.as_bytes()).is_ok());
     for missing in [
         "coldFrom",
