--- a/tests/simulator/statuses.rs
+++ b/tests/simulator/statuses.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn every_status_of_the_wire_page_is_known_of_an_attempt() {
+fn every_status_code_of_an_attempt_is_decoded() {
     let expected = [
         (0, AttemptStatus::Ok),
         (13, AttemptStatus::Error),
