--- a/tests/simulator/statuses.rs
+++ b/tests/simulator/statuses.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_status_of_the_wire_page_is_known_of_a_load_order() {
+fn every_status_code_of_a_load_order_is_decoded() {
     let expected = [
         (0, LoadStatus::Ok),
         (13, LoadStatus::Error),
