--- a/tests/simulator/statuses.rs
+++ b/tests/simulator/statuses.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn every_status_of_the_wire_page_is_known_of_a_health_check() {
+fn every_status_code_of_a_health_check_is_decoded() {
     let expected = [
         (0, HealthCheckStatus::Alive),
         (13, HealthCheckStatus::Failed),
