--- a/tests/simulator/errors.rs
+++ b/tests/simulator/errors.rs
@@ -14,15 +14,18 @@
     let unknown_kind = hex("02 00000009 0003 00000029 04 0000");
     let unknown_state =
         hex("0c 0000001d 0000 00000001 00 0000 03 0a124a07 1f43 3f800000 0000000000000000 00");
-    let whole = batch(5, std::slice::from_ref(&accept));
+    let complete_batch = batch(5, std::slice::from_ref(&accept));
     for (input, expected) in [
-        (whole[..9].to_vec(), "batch header: cut short after 9 of 16 bytes"),
+        (
+            complete_batch[..9].to_vec(),
+            "batch header: cut short after 9 of 16 bytes",
+        ),
         (
             batch_with_byte(&[], BATCH_LENGTH_LAST_BYTE, 3),
             "batch header: length 3 at position 8 does not fit",
         ),
         (
-            whole[..30].to_vec(),
+            complete_batch[..30].to_vec(),
             "batch: cut short after 14 of 52 bytes of records",
         ),
         (
--- a/tests/simulator/program.rs
+++ b/tests/simulator/program.rs
@@ -34,10 +34,10 @@
 
 #[test]
 fn a_malformed_batch_is_reported_and_gets_no_reply() {
-    let whole = batch(5, &[hex(ACCEPT)]);
+    let complete_batch = batch(5, &[hex(ACCEPT)]);
     for (input, expected) in [
-        (whole[..9].to_vec(), "batch header"),
-        (whole[..30].to_vec(), "cut short"),
+        (complete_batch[..9].to_vec(), "batch header"),
+        (complete_batch[..30].to_vec(), "cut short"),
         (batch(5, &[short_accept()]), "ACCEPT at position 16"),
         (batch(5, &[long_accept()]), "ACCEPT at position 16"),
     ] {
