--- a/tests/simulator/program.rs
+++ b/tests/simulator/program.rs
@@ -83,7 +83,7 @@
     assert_eq!(output.status.code(), Some(0));
     let replies = output.stdout;
     let forward = hex("01 00000014 0003 5d3a91c4 000000000e4e1c00 0a124a07 1f43");
-    assert!(replies.windows(forward.len()).any(|part| part == forward));
+    assert!(replies.windows(forward.len()).any(|window| window == forward));
     let last_reply = &replies[replies.len() - 8..];
     assert_eq!(last_reply, [0; 8]);
 }
