--- a/src/simulator_codec/batch.rs
+++ b/src/simulator_codec/batch.rs
@@ -1,25 +1,25 @@
-//! Framing of the input: a batch is a header and the bytes of its records.
+//! Framing of the input: each batch consists of a header and the bytes of its records.
 
 use super::cursor::FieldCursor;
 use super::error::{RecordLocation, WireError};
 use crate::Time;
 use std::io::{self, Read};
 
-/// Bytes of a batch's header: the clock, the length and the number of records.
+/// Length of a batch header in bytes: the clock, the length field and the number of records.
 pub(super) const HEADER_LENGTH: usize = 16;
-/// Where the header has the length of everything after this field.
+/// Position of the length field in the header, in bytes; the field counts everything after itself.
 const LENGTH_POSITION: usize = 8;
-/// Bytes of the header that this length includes: the number of records.
+/// Length in bytes of the record count, the part of the header that the length field includes.
 const COUNT_LENGTH: usize = 4;
 
-/// One batch of event records, not yet decoded.
+/// A batch of event records that are not decoded yet.
 #[derive(Debug)]
 pub struct Batch {
-    /// The simulator's clock, at which all events of the batch happen.
+    /// Time on the simulator's clock at which all events of the batch happen.
     pub now: Time,
     /// Number of records in `records`.
     pub(super) record_count: u32,
-    /// The records, back to back.
+    /// The encoded records, back to back.
     pub(super) records: Vec<u8>,
 }
 
@@ -29,11 +29,12 @@
     record_count: u32,
 }
 
-/// Reads the next batch; `None` where the input ends between two batches.
+/// Reads the next batch, or returns `None` if the input ends between two batches.
 ///
 /// # Errors
 ///
-/// The input cannot be read, ends inside a batch, or the header's length is too small.
+/// Returns an error if the input cannot be read or ends inside a batch, or if the length in the header is too
+/// small.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
@@ -80,7 +81,7 @@
     })
 }
 
-/// Fills the buffer as far as the input goes; returns how many bytes were read.
+/// Reads until the buffer is full or the input ends, and returns the number of bytes read.
 fn read_until_full(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut received = 0;
     while received < buffer.len() {
@@ -94,7 +95,9 @@
     Ok(received)
 }
 
-/// Reads `expected` bytes. The buffer grows with what is read, so a false length does not reserve memory.
+/// Reads `expected` bytes.
+///
+/// The buffer grows with the bytes that arrive, so an incorrect length does not allocate memory in advance.
 fn read_record_bytes(input: &mut impl Read, expected: usize) -> Result<Vec<u8>, WireError> {
     let mut bytes = Vec::new();
     let received = input
