--- a/src/simulator_codec/codes.rs
+++ b/src/simulator_codec/codes.rs
@@ -1,21 +1,21 @@
-//! The numbers of the wire: one table for the event records, one for the action records, and one for each
-//! coded field.
+//! Numeric codes of the simulator's wire protocol: those of the event records, of the action records, and of
+//! the values of each coded field.
 
 use crate::{
     Action, AttemptStatus, EndpointState, EndpointUpdateKind, HealthCheckStatus, InstanceState, LoadStatus,
 };
 
-/// Declares the event records: for each its code, its name on the wire page, and its variant.
+/// Declares the event records: the code of each, its name on the page WIRE, and its variant.
 macro_rules! event_codes {
     ($($code:literal $name:literal => $variant:ident,)*) => {
-        /// Kinds of the records that the simulator sends, under their names on the wire page.
+        /// Kinds of the records that the simulator sends.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub(super) enum EventCode {
             $($variant,)*
         }
 
         impl EventCode {
-            /// The kind of record with this code, if there is one.
+            /// Returns the kind of record with this code, or `None` if the code is unknown.
             pub(super) fn from_code(code: u8) -> Option<EventCode> {
                 match code {
                     $($code => Some(EventCode::$variant),)*
@@ -23,7 +23,7 @@
                 }
             }
 
-            /// The name on the wire page.
+            /// Returns the name of the record on the page WIRE.
             pub(super) fn name(self) -> &'static str {
                 match self {
                     $(EventCode::$variant => $name,)*
@@ -48,7 +48,9 @@
     12 "ROSTER" => Roster,
 }
 
-/// Kinds of the records that the adapter sends, under their names on the wire page; the others are not used.
+/// Kinds of the records that the scheduler sends, with their names and codes on the page WIRE.
+///
+/// The other action records of that page are not used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum ActionCode {
@@ -82,14 +84,14 @@
 
 /// A value that is encoded in a field of one byte.
 pub(super) trait FieldCode: Sized {
-    /// What an error calls the field.
+    /// Name of the field in error messages.
     const FIELD_NAME: &'static str;
 
-    /// The value with this code, if there is one.
+    /// Returns the value with this code, or `None` if the code is not defined.
     fn from_code(code: u8) -> Option<Self>;
 }
 
-/// Declares the codes of a field: what an error calls the field, and the value for each code.
+/// Declares the codes of a field: its name in error messages, and the value for each code.
 macro_rules! field_codes {
     ($(#[$doc:meta])* $type:ident $field:literal { $($code:literal => $variant:ident,)* }) => {
         $(#[$doc])*
@@ -107,7 +109,7 @@
 }
 
 field_codes! {
-    /// `status` of `ANSWER`.
+    /// The field `status` of `ANSWER`.
     AttemptStatus "status" {
         0 => Ok,
         1 => Cancelled,
@@ -122,8 +124,10 @@
 }
 
 field_codes! {
-    /// `status` of `STANDS`. The page gives load orders neither 1 (cancelled) nor 5 (miss): either counts as an order
-    /// that got no answer.
+    /// The field `status` of `STANDS`.
+    ///
+    /// The page WIRE does not define the codes 1 (cancelled) and 5 (miss) for load orders. Both are decoded as
+    /// a timeout, because such an order got no response.
     LoadStatus "status" {
         0 => Ok,
         1 => Timeout,
@@ -138,7 +142,7 @@
 }
 
 field_codes! {
-    /// `status` of `PROBE_RESULT`: 0, or the reason why the worker did not answer that it is alive.
+    /// The field `status` of `PROBE_RESULT`: 0 if the worker is alive, otherwise the reason of the failure.
     HealthCheckStatus "status" {
         0 => Alive,
         1 => Failed,
@@ -153,7 +157,7 @@
 }
 
 field_codes! {
-    /// `how` of `SYNC`.
+    /// The field `how` of `SYNC`.
     EndpointUpdateKind "list kind" {
         0 => Delta,
         1 => Snapshot,
@@ -163,7 +167,7 @@
 }
 
 field_codes! {
-    /// `mode` of an entry of `ROSTER`.
+    /// The field `mode` of an endpoint in `ROSTER`.
     EndpointState "mode" {
         0 => Ready,
         1 => Draining,
@@ -171,7 +175,8 @@
     }
 }
 
-/// `remark` of `ANSWER`: the instance's state in the low bits, the requests in flight above them.
+/// The field `remark` of `ANSWER`: the state of the instance in the low bits, and the number of requests in
+/// flight in the bits above.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AnswerRemark(pub(super) u8);
 
@@ -179,7 +184,7 @@
     const INSTANCE_STATE_BITS: u32 = 3;
     const INSTANCE_STATE_MASK: u8 = (1 << AnswerRemark::INSTANCE_STATE_BITS) - 1;
 
-    /// Whether an instance of the function was loaded; `Unknown` if the answer does not say.
+    /// Returns whether an instance of the function was loaded, or `Unknown` if the field does not say.
     pub(super) fn instance_state(self) -> InstanceState {
         match self.0 & AnswerRemark::INSTANCE_STATE_MASK {
             1 => InstanceState::Loaded,
@@ -190,7 +195,8 @@
         }
     }
 
-    /// Requests for the same function that were in flight at the worker when this one arrived.
+    /// Returns the number of requests for the same function that were in flight at the worker when this one
+    /// arrived.
     pub(super) fn function_in_flight(self) -> u32 {
         u32::from(self.0 >> AnswerRemark::INSTANCE_STATE_BITS)
     }
