--- a/src/simulator_codec/cursor.rs
+++ b/src/simulator_codec/cursor.rs
@@ -1,12 +1,13 @@
-//! Reading the fields of one record in their order.
+//! Sequential decoding of the fields of a record.
 
 use super::codes::FieldCode;
 use super::error::{RecordLocation, WireError};
 use crate::WorkerId;
 
-/// The fields of one record, and how far they have been read.
+/// Cursor over the fields of a record.
 ///
-/// Each method reads the next field and fails with [`WireError::RecordCutShort`] if the record ends in it.
+/// Each method that reads a field advances the cursor, and returns [`WireError::RecordCutShort`] if the
+/// record ends inside the field.
 pub(super) struct FieldCursor<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -14,7 +15,7 @@
 }
 
 impl<'a> FieldCursor<'a> {
-    /// A cursor before the first field; errors name `location`.
+    /// Creates a cursor before the first field; `location` identifies the record in errors.
     pub(super) fn new(bytes: &'a [u8], location: RecordLocation) -> FieldCursor<'a> {
         FieldCursor {
             bytes,
@@ -23,17 +24,17 @@
         }
     }
 
-    /// Bytes read so far.
+    /// Returns the number of bytes read so far.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Bytes not read yet.
+    /// Returns the number of bytes not read yet.
     pub(super) fn remaining(&self) -> usize {
         self.bytes.len() - self.offset
     }
 
-    /// The next `count` bytes.
+    /// Reads the next `count` bytes.
     pub(super) fn bytes(&mut self, count: usize) -> Result<&'a [u8], WireError> {
         let rest = &self.bytes[self.offset..];
         let Some(field) = rest.get(..count) else {
@@ -74,7 +75,7 @@
         self.array().map(f32::from_be_bytes)
     }
 
-    /// A worker: four bytes of address and two of port, together its id.
+    /// Reads a worker id, which consists of the four-byte address and the two-byte port of the worker.
     pub(super) fn worker(&mut self) -> Result<WorkerId, WireError> {
         let address_and_port: [u8; 6] = self.array()?;
         let mut id = [0; 8];
@@ -82,7 +83,7 @@
         Ok(WorkerId(u64::from_be_bytes(id)))
     }
 
-    /// A code of one byte; one that is not defined is [`WireError::UnknownCode`].
+    /// Reads a one-byte code and returns its value, or [`WireError::UnknownCode`] if the code is not defined.
     pub(super) fn code<T: FieldCode>(&mut self) -> Result<T, WireError> {
         let offset = self.offset;
         let code = self.u8()?;
