--- a/src/simulator_codec/error.rs
+++ b/src/simulator_codec/error.rs
@@ -1,51 +1,51 @@
-//! What can be wrong with the simulator's pipe, and where.
+//! Errors of the simulator's pipe protocol and the positions at which they occur.
 
 use std::fmt;
 use std::io;
 use thiserror::Error;
 
-/// Why a batch cannot be decoded, or a reply not be written.
+/// Error in reading or decoding a batch, or in writing a reply.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// The input failed while a header was read.
+    /// Reading a batch header from the input failed.
     #[error("batch header: cannot read: {0}")]
     ReadHeader(#[source] io::Error),
-    /// The input failed while the records of a batch were read.
+    /// Reading the records of a batch from the input failed.
     #[error("batch: cannot read: {0}")]
     ReadRecords(#[source] io::Error),
-    /// The input ended inside a header.
+    /// The input ended inside a batch header.
     #[error("batch header: cut short after {received} of {expected} bytes")]
     HeaderCutShort {
-        /// Bytes of the header that arrived.
+        /// Number of header bytes that arrived.
         received: usize,
-        /// Bytes of a whole header.
+        /// Length of a complete header in bytes.
         expected: usize,
     },
-    /// The length in the header is shorter than the rest of the header.
+    /// The length in a batch header is smaller than the rest of the header.
     #[error("batch header: length {length} at position {position} does not fit")]
     InvalidBatchLength {
         /// The length as received.
         length: usize,
-        /// Where the header has it, in bytes from the start of the batch.
+        /// Position of the length, in bytes from the start of the batch.
         position: usize,
     },
     /// The input ended inside the records of a batch.
     #[error("batch: cut short after {received} of {expected} bytes of records")]
     RecordsCutShort {
-        /// Bytes of records that arrived.
+        /// Number of record bytes that arrived.
         received: usize,
-        /// Bytes of records according to the header.
+        /// Number of record bytes according to the header.
         expected: usize,
     },
-    /// The header counts more records than there are.
+    /// The batch contains fewer records than its header states.
     #[error("record {index} at position {position}: missing")]
     MissingRecord {
-        /// Number of the record in the batch, from 0.
+        /// Index of the missing record in the batch, from 0.
         index: u32,
-        /// Where it should start, in bytes from the start of the batch.
+        /// Position at which the record should start, in bytes from the start of the batch.
         position: usize,
     },
-    /// The length of a record reaches beyond the end of the batch.
+    /// A record extends beyond the end of the batch according to its length.
     #[error("{record}: its length {length} does not fit")]
     InvalidRecordLength {
         /// The record.
@@ -58,44 +58,44 @@
     RecordCutShort {
         /// The record.
         record: RecordLocation,
-        /// Bytes of the field.
+        /// Length of the field in bytes.
         field_length: usize,
-        /// Where the field starts, in bytes from the first field.
+        /// Position of the field, in bytes from the first field.
         offset: usize,
-        /// Bytes of all fields of the record.
+        /// Length of all fields of the record in bytes.
         available: usize,
     },
-    /// The code in a field is not defined by the protocol.
+    /// A field contains a code that the protocol does not define.
     #[error("{record}: {field} {code} at its byte {offset} is not known")]
     UnknownCode {
         /// The record.
         record: RecordLocation,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
         /// The code as received.
         code: u8,
-        /// Where the field is, in bytes from the first field.
+        /// Position of the code, in bytes from the first field.
         offset: usize,
     },
-    /// The batch goes on after the last record that its header counts.
+    /// The batch contains bytes after the last record that its header counts.
     #[error("batch: {length} bytes left after record {count}")]
     TrailingBytes {
-        /// Bytes after the last record.
+        /// Number of bytes after the last record.
         length: usize,
-        /// Records that the header counts.
+        /// Number of records according to the header.
         count: u32,
     },
-    /// The output failed.
+    /// Writing a reply to the output failed.
     #[error("reply: cannot write: {0}")]
     WriteReply(#[source] io::Error),
 }
 
-/// Where a record is.
+/// Name and position of a record, for error messages.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordLocation {
-    /// Its name on the wire page.
+    /// Name of the record on the page WIRE, or a general name if the record has none.
     pub(super) name: &'static str,
-    /// Its first byte, counted from the start of the batch.
+    /// Position of the first byte of the record, in bytes from the start of the batch.
     pub(super) position: usize,
 }
 
