--- a/src/simulator_codec/ids.rs
+++ b/src/simulator_codec/ids.rs
@@ -1,9 +1,11 @@
-//! The numbers under which the simulator knows scheduler instances and endpoint lists.
+//! Numbers by which the simulator identifies scheduler instances and endpoint lists.
 
-/// A hosted scheduler instance.
+/// Identifier of a simulated scheduler instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u16);
 
-/// An endpoint list; the simulator reuses the number for later lists.
+/// Identifier of an endpoint list.
+///
+/// The simulator reuses an identifier for a later list, which replaces the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListId(pub u16);
