--- a/src/simulator_codec/records.rs
+++ b/src/simulator_codec/records.rs
@@ -1,4 +1,4 @@
-//! Decoding of the event records of a batch, one function for each kind of record.
+//! Decoding of the event records of a batch, with one function for each kind of record.
 
 use super::batch::{Batch, HEADER_LENGTH};
 use super::codes::{AnswerRemark, EventCode};
@@ -10,47 +10,49 @@
     IncomingRequest, KindId, LoadOutcome, RequestId, Span, TenantId, Time, ZoneId,
 };
 
-/// A record of a batch.
+/// A decoded record of a batch.
 #[derive(Debug)]
 pub enum Record {
-    /// An instance starts, with an empty state.
+    /// A scheduler instance starts with an empty state.
     OpenInstance {
         /// The instance.
         instance: InstanceId,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random number generator.
         seed: u64,
-        /// Its settings, as JSON text.
+        /// Settings of the instance, as JSON text.
         settings: Vec<u8>,
     },
-    /// An instance was killed; its state is void.
+    /// An instance was killed, and its state is discarded.
     CloseInstance {
         /// The instance.
         instance: InstanceId,
     },
-    /// An endpoint list for later updates of any instance; it replaces an earlier one of the same number.
+    /// An endpoint list to which later updates of any instance refer.
+    ///
+    /// The list replaces an earlier one with the same identifier.
     EndpointList {
-        /// Its number.
+        /// Identifier of the list.
         list: ListId,
-        /// Its endpoints.
+        /// Endpoints of the list.
         endpoints: Vec<Endpoint>,
     },
-    /// Discovery reports to an instance.
+    /// Discovery reports an endpoint update, or a failed call, to an instance.
     EndpointUpdate {
         /// The instance.
         instance: InstanceId,
-        /// How the update relates to the endpoints that the instance knows.
+        /// Whether the list is a delta or a snapshot, or the call failed.
         kind: EndpointUpdateKind,
-        /// The list with the endpoints; without meaning for a failed call.
+        /// The list with the endpoints; meaningless if the call failed.
         list: ListId,
     },
-    /// Any other event of an instance.
+    /// Any other event for an instance.
     Event {
         /// The instance.
         instance: InstanceId,
-        /// What has happened.
+        /// The event.
         event: Event,
     },
-    /// A record that the adapter has no use for.
+    /// A record of an unknown kind, or of a kind that the scheduler does not use.
     Ignored,
 }
 
@@ -58,8 +60,8 @@
 ///
 /// # Errors
 ///
-/// The first record that does not match its length or contains an unknown code, or bytes after the last
-/// record.
+/// Returns an error for the first record that is missing, does not match its length or contains an unknown
+/// code, and for bytes after the last record.
 pub fn read_records(batch: &Batch) -> Result<Vec<Record>, WireError> {
     let location = RecordLocation {
         name: "records",
@@ -142,7 +144,8 @@
 }
 
 fn endpoint(fields: &mut FieldCursor) -> Result<Endpoint, WireError> {
-    // The fields of a literal are evaluated as they are written here: in their order on the wire.
+    // Rust evaluates the fields of a struct literal in the order in which they are written, which is their
+    // order on the wire.
     Ok(Endpoint {
         zone: ZoneId(fields.u8()?),
         cell: CellId(fields.u16()?),
@@ -163,7 +166,7 @@
     Ok(Record::EndpointUpdate { instance, kind, list })
 }
 
-/// Decodes an event record: its instance, then the fields of its kind.
+/// Decodes an event record: the instance, then the fields of the event with `decode_event`.
 fn instance_event(
     fields: &mut FieldCursor,
     decode_event: fn(&mut FieldCursor) -> Result<Event, WireError>,
@@ -196,7 +199,7 @@
     }))
 }
 
-/// The typical time of a load; zero means that it is unknown.
+/// Converts the typical time of a load to a span; zero means that the time is unknown.
 fn load_time(milliseconds: f32) -> Option<Span> {
     (milliseconds > 0.0).then_some(Span::from_millis_f64(f64::from(milliseconds)))
 }
