--- a/src/simulator_codec/reply.rs
+++ b/src/simulator_codec/reply.rs
@@ -1,4 +1,4 @@
-//! Encoding of the reply to a batch: action records behind a header.
+//! Encoding of the reply to a batch: a header followed by action records.
 
 use super::codes::ActionCode;
 use super::error::WireError;
@@ -6,16 +6,18 @@
 use crate::{Action, WorkerId};
 use std::io::Write;
 
-/// Longest text of a `FAULT` record, in bytes.
+/// Maximum length of the text of a `FAULT` record, in bytes.
 const MAX_FAULT_LENGTH: usize = 1000;
-/// `active` of `TRACK`: subscribe.
+/// Value of the field `active` of `TRACK` that subscribes.
 const SUBSCRIBE: u8 = 1;
-/// `mark` of `WAKE_ME`: the policy keeps its own timers and needs no mark.
+/// Value of the field `mark` of `WAKE_ME`.
+///
+/// The policy keeps its own timers, so it does not need the mark to tell them apart.
 const TIMER_MARK: u32 = 0;
-/// Bytes of the field with a record's length.
+/// Size of the length field of a record, in bytes.
 const LENGTH_FIELD_SIZE: usize = 4;
 
-/// The reply to one batch, under construction.
+/// Builder of the reply to a batch.
 #[derive(Debug, Default)]
 pub struct Reply {
     record_count: u32,
@@ -23,14 +25,16 @@
 }
 
 impl Reply {
-    /// Appends an action of an instance.
+    /// Appends the record of an action of `instance`.
     pub fn add_action(&mut self, instance: InstanceId, action: &Action) {
         self.add_record(ActionCode::from(action), instance, |fields| {
             encode_action(fields, action)
         });
     }
 
-    /// Appends the report that an instance cannot go on; a text that is too long is cut.
+    /// Appends a `FAULT` record, which reports that `instance` cannot continue.
+    ///
+    /// The text is truncated to the maximum length.
     pub fn add_fault(&mut self, instance: InstanceId, text: &str) {
         let length = text.len().min(MAX_FAULT_LENGTH);
         let text = &text.as_bytes()[..length];
@@ -39,17 +43,17 @@
         });
     }
 
-    /// Writes the reply and flushes the output.
+    /// Writes the reply to `output` and flushes it.
     ///
     /// # Errors
     ///
-    /// The output fails.
+    /// Returns an error if writing or flushing fails.
     pub fn write_to(self, output: &mut impl Write) -> Result<(), WireError> {
         let written = output.write_all(&self.into_bytes()).and_then(|()| output.flush());
         written.map_err(WireError::WriteReply)
     }
 
-    /// The reply as it is sent: the number of records, the length of the records, the records.
+    /// Returns the encoded reply: the number of records, their total length in bytes, and the records.
     pub fn into_bytes(self) -> Vec<u8> {
         let mut bytes = Vec::new();
         bytes.extend(self.record_count.to_be_bytes());
@@ -78,7 +82,7 @@
     }
 }
 
-/// Writes the fields of an action in their order on the wire page, without the instance.
+/// Encodes the fields of an action, except the instance, in their order on the page WIRE.
 fn encode_action(fields: &mut FieldWriter, action: &Action) {
     match action {
         Action::Send { id, worker, timeout } => fields.u32(id.0).u64(timeout.0).worker(*worker),
@@ -124,7 +128,7 @@
         self.bytes(&value.to_be_bytes())
     }
 
-    /// A worker: its address and port are the low six bytes of its id.
+    /// Appends the address and the port of a worker, which are the low six bytes of its id.
     fn worker(&mut self, worker: WorkerId) -> &mut Self {
         self.bytes(&worker.0.to_be_bytes()[2..])
     }
