--- a/tests/simulator/actions.rs
+++ b/tests/simulator/actions.rs
@@ -1,4 +1,4 @@
-//! Replies: action records are encoded as the wire page writes them.
+//! Tests that replies are encoded in the format of the page WIRE.
 
 use super::support::simulator_wire::hex;
 use super::{FUNCTION, INSTANCE, OTHER_REQUEST, REQUEST, WORKER};
--- a/tests/simulator/errors.rs
+++ b/tests/simulator/errors.rs
@@ -1,4 +1,4 @@
-//! An error of decoding says where in the batch it is, and what is wrong there.
+//! Tests that a decoding error states its position in the batch and its cause.
 
 use super::decode;
 use super::support::simulator_wire::{
--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -1,4 +1,4 @@
-//! Event records are decoded as the wire page writes them.
+//! Tests that event records in the format of the page WIRE are decoded.
 
 use super::support::simulator_wire::ACCEPT;
 use super::{FUNCTION, INSTANCE, OTHER_REQUEST, OTHER_WORKER, decode_events, decode_records};
@@ -18,7 +18,7 @@
         Record::EndpointUpdate { instance, kind, list },
     ] = decode_records([roster, sync])
     else {
-        panic!("other records")
+        panic!("unexpected records")
     };
     assert_eq!(endpoints.len(), 2);
     assert_eq!(endpoints[0].started_at, None);
--- a/tests/simulator/main.rs
+++ b/tests/simulator/main.rs
@@ -1,4 +1,4 @@
-//! The codec of the simulator's wire, and the program that serves the policy on it.
+//! Tests of the simulator's wire codec and of the program that connects the policy to the simulator.
 
 mod actions;
 mod errors;
@@ -20,19 +20,19 @@
 const REQUEST: RequestId = RequestId(0x5d3a_91c4);
 const OTHER_REQUEST: RequestId = RequestId(0x0e6f_2b19);
 
-/// Decodes one batch.
+/// Decodes the records of one batch.
 fn decode(mut bytes: &[u8]) -> Result<Vec<Record>, WireError> {
     let batch = read_batch(&mut bytes)?;
     read_records(&batch.unwrap())
 }
 
-/// Decodes a batch with these records, each of them in hexadecimal.
+/// Decodes a batch with `records`, each given in hexadecimal.
 fn decode_records<const N: usize>(records: [&str; N]) -> [Record; N] {
     let decoded = decode(&batch(9, &records.map(hex))).unwrap();
     decoded.try_into().expect("one record each")
 }
 
-/// Decodes a batch with these records, each of them an event of [`INSTANCE`] in hexadecimal.
+/// Decodes a batch with `records`, each an event of [`INSTANCE`] given in hexadecimal.
 fn decode_events<const N: usize>(records: [&str; N]) -> [Event; N] {
     decode_records(records).map(|record| match record {
         Record::Event {
--- a/tests/simulator/program.rs
+++ b/tests/simulator/program.rs
@@ -1,18 +1,18 @@
-//! The program that serves the policy on the simulator's wire, run as a process.
+//! Tests of the program that connects the policy to the simulator, run as a process.
 
 use super::support::simulator_wire::{ACCEPT, batch, hex, long_accept, open_instance, short_accept};
 use function_scheduler::config;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Settings of a site, with a key that the program does not know.
+/// Site settings with an unknown key, which the program ignores.
 const SETTINGS: &str = r#"{"fleetSize": 3, "index": 1, "somethingNew": [1],
   "classes": [{"deadlineNs": 6000000000, "effect": "retryable", "objectiveNs": 1200000000}],
   "bounds": {"mostTries": 5},
   "contract": {"coldFrom": 0.17, "coldNs": 16000000000, "fallMultiple": 2.0, "fallNs": 1000000000},
   "familyInfo": {"keepNs": 8100000000, "notLoaded": "miss", "mayOrder": true, "loadSpanNs": 0}}"#;
 
-/// Runs the adapter's program with this input.
+/// Runs the program with `input` on its standard input until it exits.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_function-scheduler-sim"))
         .stdin(Stdio::piped())
--- a/tests/simulator/statuses.rs
+++ b/tests/simulator/statuses.rs
@@ -1,17 +1,17 @@
-//! Every status of the wire page is known, of an attempt, of a load order and of a health check.
+//! Tests that every status code of the page WIRE is decoded for attempts, load orders and health checks.
 
 use super::decode_events;
 use function_scheduler::*;
 use std::fmt::Debug;
 
-/// Asserts what the decoder takes each code of the wire page for.
+/// Asserts the status to which `decode` maps each code of the page WIRE.
 fn assert_statuses<Status: Debug + PartialEq>(decode: impl Fn(u8) -> Status, expected: [(u8, Status); 9]) {
     for (code, status) in expected {
         assert_eq!(decode(code), status, "code {code}");
     }
 }
 
-/// The status of an `ANSWER` record with this code.
+/// Decodes an `ANSWER` record with the status `code`.
 fn attempt_status(code: u8) -> AttemptStatus {
     let answer = format!("05 0000001a 0003 5d3a91c4 0000 0a124a07 1f43 {code:02x} 00000000011a49a0 01 19 00");
     let [Event::AttemptFinished(outcome)] = decode_events([&answer]) else {
@@ -20,7 +20,7 @@
     outcome.status
 }
 
-/// The status of a `STANDS` record with this code.
+/// Decodes a `STANDS` record with the status `code`.
 fn load_status(code: u8) -> LoadStatus {
     let stands = format!("0b 0000001a 0003 01 0a9011f2 1f6c 000000002625a000 {code:02x} 0000007c55d20a01");
     let [Event::LoadFinished(outcome)] = decode_events([&stands]) else {
@@ -29,7 +29,7 @@
     outcome.status
 }
 
-/// The status of a `PROBE_RESULT` record with this code.
+/// Decodes a `PROBE_RESULT` record with the status `code`.
 fn health_check_status(code: u8) -> HealthCheckStatus {
     let probe_result = format!("08 00000011 0003 0000000000155cc0 {code:02x} 0a9011f2 1f6c");
     let [Event::HealthCheckFinished { status, .. }] = decode_events([&probe_result]) else {
