--- a/src/simulator_codec/batch.rs
+++ b/src/simulator_codec/batch.rs
@@ -33,8 +33,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if the input cannot be read or ends inside a batch, or if the length in the header is too
-/// small.
+/// Returns an error if the input cannot be read or ends inside a batch, or if the length in the header is
+/// too small.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
--- a/src/simulator_codec/codes.rs
+++ b/src/simulator_codec/codes.rs
@@ -126,8 +126,8 @@
 field_codes! {
     /// The field `status` of `STANDS`.
     ///
-    /// The page WIRE defines neither 1 (cancelled) nor 5 (miss) for load orders. Both are decoded as an order
-    /// that got no response.
+    /// The page WIRE defines neither 1 (cancelled) nor 5 (miss) for load orders. Both are decoded as an
+    /// order that got no response.
     LoadStatus "status" {
         0 => Ok,
         1 => Timeout,
--- a/src/simulator_codec/cursor.rs
+++ b/src/simulator_codec/cursor.rs
@@ -83,7 +83,7 @@
         Ok(WorkerId(u64::from_be_bytes(id)))
     }
 
-    /// Reads a one-byte code and returns its value, or [`WireError::UnknownCode`] if the code is not defined.
+    /// Reads a one-byte code and returns its value, or [`WireError::UnknownCode`] for an undefined code.
     pub(super) fn code<T: FieldCode>(&mut self) -> Result<T, WireError> {
         let offset = self.offset;
         let code = self.u8()?;
