--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -41,7 +41,7 @@
 /// Functions that the clients call, each with another home among the workers.
 const FUNCTIONS: u32 = 12;
 /// What the settings allow after a drain has been notified.
-const GRACE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// A change counts as notified so long after the beginning of the outage, at the latest (page PROTOCOL, "Figures").
 const NOTIFIED_AFTER: Duration = Duration::from_secs(4);
 /// How much longer every time limit is on real sockets (page PROTOCOL).
@@ -109,7 +109,7 @@
         }
         let discovery = StandInDiscovery::new();
         let mut settings = default_settings();
-        settings["contract"]["drainGraceNs"] = json!(GRACE.as_nanos() as u64);
+        settings["contract"]["drainGraceNs"] = json!(DRAIN_GRACE_PERIOD.as_nanos() as u64);
         let scheduler = Configuration::new(&addresses)
             .settings(settings)
             .discovery(discovery.address())
@@ -205,10 +205,10 @@
     }
     thread::sleep(DRAIN_DELAY);
     draining.iter().for_each(DrainSwitch::begin);
-    let served = traffic.served_fraction_since(outage_began_at + NOTIFIED_AFTER + GRACE);
+    let served = traffic.served_fraction_since(outage_began_at + NOTIFIED_AFTER + DRAIN_GRACE_PERIOD);
     drop(open);
 
-    let limit = outage_began_at + NOTIFIED_AFTER + GRACE + SLACK;
+    let limit = outage_began_at + NOTIFIED_AFTER + DRAIN_GRACE_PERIOD + SLACK;
     let late: Vec<(Instant, Value)> = draining
         .iter()
         .flat_map(|worker| worker.received_after(limit))
