--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -43,7 +43,7 @@
 /// What the settings allow after a drain has been notified.
 const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// A change counts as notified so long after the beginning of the outage, at the latest (page PROTOCOL, "Figures").
-const NOTIFIED_AFTER: Duration = Duration::from_secs(4);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 /// How much longer every time limit is on real sockets (page PROTOCOL).
 const SLACK: Duration = Duration::from_millis(50);
 /// Traffic before the outage: the schedulers know which workers have which functions.
@@ -205,10 +205,10 @@
     }
     thread::sleep(DRAIN_DELAY);
     draining.iter().for_each(DrainSwitch::begin);
-    let served = traffic.served_fraction_since(outage_began_at + NOTIFIED_AFTER + DRAIN_GRACE_PERIOD);
+    let served = traffic.served_fraction_since(outage_began_at + MAX_NOTIFICATION_DELAY + DRAIN_GRACE_PERIOD);
     drop(open);
 
-    let limit = outage_began_at + NOTIFIED_AFTER + DRAIN_GRACE_PERIOD + SLACK;
+    let limit = outage_began_at + MAX_NOTIFICATION_DELAY + DRAIN_GRACE_PERIOD + SLACK;
     let late: Vec<(Instant, Value)> = draining
         .iter()
         .flat_map(|worker| worker.received_after(limit))
