--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -53,7 +53,7 @@
 /// How long a client waits for a response.
 const ALLOWED_MS: u64 = 2_000;
 /// Time for the last responses, before the client leaves.
-const LAST_RESPONSES: Duration = Duration::from_millis(ALLOWED_MS);
+const FINAL_RESPONSE_WAIT: Duration = Duration::from_millis(ALLOWED_MS);
 /// The fraction of the requests, 0 to 1, that the remaining workers have to serve late in the outage.
 const MIN_SERVED: f64 = 0.95;
 
@@ -151,7 +151,7 @@
                     .unwrap();
                 sent.push((n, Instant::now()));
             }
-            thread::sleep(LAST_RESPONSES);
+            thread::sleep(FINAL_RESPONSE_WAIT);
             output.shutdown(Shutdown::Write).unwrap();
             sent
         });
