--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -55,7 +55,7 @@
 /// Time for the last responses, before the client leaves.
 const FINAL_RESPONSE_WAIT: Duration = Duration::from_millis(ALLOWED_MS);
 /// The fraction of the requests, 0 to 1, that the remaining workers have to serve late in the outage.
-const MIN_SERVED: f64 = 0.95;
+const MIN_SERVED_FRACTION: f64 = 0.95;
 
 /// A worker that can be told to drain: it then rejects new work, and keeps the times at which that came.
 #[derive(Clone, Default)]
@@ -220,7 +220,7 @@
         late.len()
     );
     assert!(
-        served >= MIN_SERVED,
+        served >= MIN_SERVED_FRACTION,
         "only {served:.3} of the requests were served"
     );
 }
