--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -179,7 +179,7 @@
 }
 
 /// What discovery does while it is out of reach.
-enum Unreachable {
+enum OutageMode {
     /// Connections stay open and silent, new ones too.
     Silent,
     /// Connections are closed, and new ones are refused.
@@ -187,7 +187,7 @@
 }
 
 /// Two of six workers begin to drain in an outage of discovery, with a request in each interval.
-fn play_drain_in_an_outage(unreachable: &Unreachable, interval: Duration) {
+fn play_drain_in_an_outage(mode: &OutageMode, interval: Duration) {
     let Deployment {
         draining,
         discovery,
@@ -200,7 +200,7 @@
     let outage_began_at = Instant::now();
     // In the silent case both stay open to the end of the test.
     let mut open = Some((discovery, watch));
-    if matches!(unreachable, Unreachable::Refusing) {
+    if matches!(mode, OutageMode::Refusing) {
         open = None;
     }
     thread::sleep(DRAIN_DELAY);
@@ -227,12 +227,12 @@
 
 #[test]
 fn draining_workers_get_nothing_new_while_discovery_is_silent() {
-    play_drain_in_an_outage(&Unreachable::Silent, Duration::from_millis(10));
+    play_drain_in_an_outage(&OutageMode::Silent, Duration::from_millis(10));
 }
 
 #[test]
 fn draining_workers_get_nothing_new_from_a_scheduler_with_few_requests() {
-    play_drain_in_an_outage(&Unreachable::Refusing, Duration::from_millis(250));
+    play_drain_in_an_outage(&OutageMode::Refusing, Duration::from_millis(250));
 }
 
 /// Settings under which the endpoint list is stale soon after the start, unless discovery confirms it.
