--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -65,7 +65,7 @@
 }
 
 impl DrainSwitch {
-    fn begin(&self) {
+    fn start_draining(&self) {
         self.is_draining.store(true, Ordering::SeqCst);
     }
 
@@ -204,7 +204,7 @@
         open = None;
     }
     thread::sleep(DRAIN_DELAY);
-    draining.iter().for_each(DrainSwitch::begin);
+    draining.iter().for_each(DrainSwitch::start_draining);
     let served = traffic.served_fraction_since(outage_began_at + MAX_NOTIFICATION_DELAY + DRAIN_GRACE_PERIOD);
     drop(open);
 
