--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -187,7 +187,7 @@
 }
 
 /// Two of six workers begin to drain in an outage of discovery, with a request in each interval.
-fn play_drain_in_an_outage(mode: &OutageMode, interval: Duration) {
+fn assert_draining_workers_get_no_new_work(mode: &OutageMode, interval: Duration) {
     let Deployment {
         draining,
         discovery,
@@ -227,12 +227,12 @@
 
 #[test]
 fn draining_workers_get_nothing_new_while_discovery_is_silent() {
-    play_drain_in_an_outage(&OutageMode::Silent, Duration::from_millis(10));
+    assert_draining_workers_get_no_new_work(&OutageMode::Silent, Duration::from_millis(10));
 }
 
 #[test]
 fn draining_workers_get_nothing_new_from_a_scheduler_with_few_requests() {
-    play_drain_in_an_outage(&OutageMode::Refusing, Duration::from_millis(250));
+    assert_draining_workers_get_no_new_work(&OutageMode::Refusing, Duration::from_millis(250));
 }
 
 /// Settings under which the endpoint list is stale soon after the start, unless discovery confirms it.
