--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn draining_workers_get_nothing_new_while_discovery_is_silent() {
+fn draining_workers_get_no_new_work_while_discovery_is_silent() {
     assert_draining_workers_get_no_new_work(&OutageMode::Silent, Duration::from_millis(10));
 }
 
