--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn draining_workers_get_nothing_new_from_a_scheduler_with_few_requests() {
+fn draining_workers_get_no_new_work_at_a_low_request_rate() {
     assert_draining_workers_get_no_new_work(&OutageMode::Refusing, Duration::from_millis(250));
 }
 
