--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -120,7 +120,7 @@
 /// An event is cut off in the middle and arrives complete, and twice, on the next connection. Its full list omits the
 /// worker for whose connection a request waits: the request goes to the other worker.
 #[test]
-fn request_does_not_follow_a_worker_that_a_full_list_omits() {
+fn request_is_placed_again_when_a_snapshot_omits_its_worker() {
     let omitted = UnacceptingWorker::new();
     let listed = StandInWorker::node_agent();
     let discovery = StandInDiscovery::new();
