--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -148,7 +148,7 @@
 /// SIGHUP moves the discovery service while the connection to the old one is being established, or while the scheduler
 /// waits to try again.
 #[test]
-fn moved_discovery_is_watched_at_once_whatever_the_old_connection_does() {
+fn discovery_address_change_takes_effect_at_once() {
     let unaccepting = UnacceptingWorker::new();
     for old_address in [
         unaccepting.address(),
