--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -73,7 +73,7 @@
 
 /// A service that sends heartbeats but withholds events is no better than a silent one.
 #[test]
-fn a_watch_whose_heartbeats_name_missing_events_is_replaced() {
+fn watch_whose_heartbeats_report_missing_events_is_replaced() {
     let (_worker, discovery, scheduler, mut watch) = deploy_watching(default_settings());
     let sender = std::thread::spawn(move || {
         for _ in 0..30 {
