--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -226,7 +226,7 @@
 
 /// A client that ignores the notice keeps requests open at a worker that answers none, until the process is killed. By
 /// then it has to have answered all of them, and to have ended.
-fn end_before_the_kill(deadline_ms: u64) {
+fn assert_shutdown_before_kill(deadline_ms: u64) {
     const INTERVAL: Duration = Duration::from_millis(50);
     const REQUESTS: u32 = 120;
     /// A request that crosses the end of its connection by less is sent again.
@@ -270,12 +270,12 @@
 
 #[test]
 fn a_client_that_keeps_sending_does_not_hold_the_shutdown_up() {
-    end_before_the_kill(3_000);
+    assert_shutdown_before_kill(3_000);
 }
 
 /// What was seen: with deadlines of 0.3 s the process ended later than 1.0 s after SIGTERM, when it may be killed. The
 /// longest deadline was counted as 3 s at least, where the page counts it as 3 s at most.
 #[test]
 fn a_shutdown_ends_before_the_kill_where_deadlines_are_short() {
-    end_before_the_kill(300);
+    assert_shutdown_before_kill(300);
 }
