--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -230,7 +230,7 @@
     const INTERVAL: Duration = Duration::from_millis(50);
     const REQUESTS: u32 = 120;
     /// A request that crosses the end of its connection by less is sent again.
-    const CROSSING: Duration = Duration::from_millis(50);
+    const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
     // The longest deadline, which counts as 3 s at most, and 0.7 s (page PROTOCOL).
     let killed_after = Duration::from_millis(deadline_ms.min(3_000) + 700);
     let mut settings = default_settings();
@@ -263,7 +263,7 @@
         .filter(|frame| frame.frame_type == frame_type::RESPONSE);
     let answered: BTreeSet<u32> = responses.map(|frame| frame.stream).collect();
     for (n, sent_at) in sender.join().unwrap() {
-        let crossed = ended_at.saturating_duration_since(sent_at) < CROSSING;
+        let crossed = ended_at.saturating_duration_since(sent_at) < CLOSE_RACE_WINDOW;
         assert!(crossed || answered.contains(&n), "request {n} has no response");
     }
 }
