--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -141,7 +141,7 @@
 /// After SIGTERM the last response is queued for a client that has not read the responses before it: the client's time
 /// to read them counts from then and not from the signal.
 #[test]
-fn last_answer_after_sigterm_is_written_however_late_it_comes() {
+fn late_response_after_sigterm_is_written_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
     shutdown.pending.succeed("bGFzdA==");
     let frames = shutdown.reader.frames_until_close();
