--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -152,7 +152,7 @@
 /// The same client reads all responses at once, so that the scheduler can read its waiting requests: they are answered,
 /// and not dropped with a connection that had no open request a moment ago.
 #[test]
-fn requests_that_waited_behind_unread_answers_are_answered_before_the_end() {
+fn requests_blocked_by_unread_responses_are_answered_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
     // In one turn of its event loop the scheduler can then write all that waits and receive the last response.
     shutdown.scheduler.signal("STOP");
