--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_client_that_keeps_sending_does_not_hold_the_shutdown_up() {
+fn client_that_keeps_sending_does_not_delay_shutdown() {
     assert_shutdown_before_kill(3_000);
 }
 
