--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -276,6 +276,6 @@
 /// What was seen: with deadlines of 0.3 s the process ended later than 1.0 s after SIGTERM, when it may be killed. The
 /// longest deadline was counted as 3 s at least, where the page counts it as 3 s at most.
 #[test]
-fn a_shutdown_ends_before_the_kill_where_deadlines_are_short() {
+fn shutdown_with_short_deadlines_ends_before_the_kill() {
     assert_shutdown_before_kill(300);
 }
