--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -203,7 +203,7 @@
 
 /// SIGHUP and SIGTERM in the same turn of the event loop, in either order; the reload moves the discovery service.
 #[test]
-fn reload_and_shutdown_in_one_turn_both_happen() {
+fn reload_and_shutdown_in_one_event_loop_turn_both_take_effect() {
     for signals in [["HUP", "TERM"], ["TERM", "HUP"]] {
         let (worker, _discovery, mut scheduler, mut old_watch) = deploy_watching(default_settings());
         let moved = StandInDiscovery::new();
