--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -13,7 +13,7 @@
 const UNKNOWN_TYPE: u8 = 3;
 
 /// An ordinary request with the body `x` on stream 1.
-fn good_request() -> Vec<u8> {
+fn valid_request() -> Vec<u8> {
     let payload = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"x");
     frame(frame_type::REQUEST, 1, &payload)
 }
@@ -22,7 +22,7 @@
 fn malformed_input_ends_its_connection_and_no_other() {
     let (worker, scheduler, mut other) = deploy();
     worker.serve(echo);
-    let good = good_request();
+    let good = valid_request();
     let to_stream_0 = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("length 0", vec![0; 4]),
@@ -53,7 +53,7 @@
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[worker.address()]);
     worker.serve(echo);
-    let good = good_request();
+    let good = valid_request();
     let mut silent = FrameClient::connect(&scheduler);
     assert_eq!(silent.next_frame(), None, "closed");
     let mut half = FrameClient::connect(&scheduler);
