--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn malformed_input_ends_its_connection_and_no_other() {
+fn malformed_input_closes_only_its_own_connection() {
     let (worker, scheduler, mut other) = deploy();
     worker.serve(echo);
     let good = valid_request();
