--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -49,7 +49,7 @@
 /// A client that sends nothing, half a frame or an endless one gets an error or is closed, so that it holds neither a
 /// descriptor nor a buffer.
 #[test]
-fn unfinished_and_endless_input_is_ended() {
+fn incomplete_and_endless_input_closes_the_connection() {
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[worker.address()]);
     worker.serve(echo);
