--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -9,7 +9,7 @@
 
 /// Workers could not tell two requests with the same id apart, even if they come from different clients.
 #[test]
-fn request_with_the_id_of_an_open_one_fails() {
+fn request_with_the_id_of_an_open_request_fails() {
     let (worker, scheduler, mut client) = deploy();
     let mut other = FrameClient::connect(&scheduler);
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"a"));
