--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn unexpected_answers_of_a_worker_harm_no_request() {
+fn unexpected_worker_responses_do_not_affect_requests() {
     let (worker, _scheduler, mut client) = deploy();
     let unexpected = [
         json!({"verb": "200", "rid": "nobody"}),
