--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -23,7 +23,7 @@
 ];
 
 #[test]
-fn request_is_served_with_the_workers_body_however_its_bytes_arrive() {
+fn requests_are_served_whether_bytes_arrive_singly_or_joined() {
     let (worker, _scheduler, mut client) = deploy();
     let commands = worker.serve(echo);
     let body: Vec<u8> = (0..=255).collect();
