--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn unusable_request_fails_and_its_connection_goes_on() {
+fn invalid_request_fails_and_its_connection_stays_open() {
     let (worker, _scheduler, mut client) = deploy();
     worker.serve(echo);
     let bad_function = [
