--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -82,7 +82,7 @@
 
 /// A request arrives in pieces shortly before its connection would be closed as idle: the connection stays open.
 #[test]
-fn connection_is_not_closed_as_idle_amid_a_request() {
+fn connection_is_not_closed_as_idle_during_a_partial_request() {
     let (worker, scheduler, mut client) = deploy();
     worker.serve(|command| echo(command).filter(|_| command.message["attrs"]["lane"] != KEYED_CLASS));
     let mut timer = FrameClient::connect(&scheduler);
