--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -26,7 +26,7 @@
 
 /// Duplicate ids and unreadable responses are treated as with node agents.
 #[test]
-fn duplicate_id_and_unreadable_answer_harm_no_other_request() {
+fn duplicate_id_and_unreadable_response_do_not_affect_other_requests() {
     let folder = TempFolder::new();
     let path = folder.file("worker.sock");
     let worker = StandInWorker::jsonrpc(&path);
