--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -77,7 +77,7 @@
 
 impl ReceivedWhileSilent {
     /// Keeps a request unanswered; answers a health check or a load.
-    fn take(&mut self, mut command: ReceivedCommand) {
+    fn handle_command(&mut self, mut command: ReceivedCommand) {
         match command.kind() {
             CommandKind::Run => self.requests.push(command),
             CommandKind::HealthCheck => {
@@ -106,7 +106,7 @@
                 self.health_checks, self.loads
             );
             for command in workers.iter().filter_map(StandInWorker::poll_command) {
-                self.take(command);
+                self.handle_command(command);
             }
         }
     }
