--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 #[test]
-fn refused_connection_proves_that_nothing_ran() {
+fn keyed_request_is_retried_after_a_refused_connection() {
     let refusing = refusing_address(Ipv4Addr::new(127, 0, 0, 77));
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[refusing, worker.address()]);
