--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -96,7 +96,7 @@
 
 /// A response that arrived completely counts even if a reset follows it at once.
 #[test]
-fn answer_that_comes_with_a_reset_is_forwarded() {
+fn response_followed_by_a_reset_is_forwarded() {
     let worker = RawWorker::new();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], large_fleet_settings());
     let mut client = FrameClient::connect(&scheduler);
