--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -119,7 +119,7 @@
 
 /// A worker resets an idle connection while a request for it comes in: the request is served, on another.
 #[test]
-fn request_that_meets_a_reset_of_an_idle_connection_is_served() {
+fn request_that_races_with_a_reset_of_an_idle_connection_is_served() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut other = FrameClient::connect(&scheduler);
     client.send_idempotent(1, 3_000, b"");
