--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -144,7 +144,7 @@
 /// Two requests share a connection on which an unreadable response comes: both are sent again on a new one, and further
 /// responses on the old one are ignored.
 #[test]
-fn unreadable_answer_moves_all_requests_of_its_connection_to_another() {
+fn unreadable_response_moves_all_requests_of_its_connection_to_a_new_one() {
     let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut first = client.send_request_to(&worker, 1);
     let second = client.send_request_to(&worker, 2);
