--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -167,7 +167,7 @@
 
 /// A request waits for a connection that is not established no longer than the connect timeout.
 #[test]
-fn request_leaves_a_connection_that_never_comes_up() {
+fn request_moves_to_another_worker_after_the_connect_timeout() {
     let unaccepting = UnacceptingWorker::new();
     let worker = StandInWorker::node_agent();
     let addresses = [unaccepting.address(), worker.address()];
