--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -186,7 +186,7 @@
 
 /// For a moment the system opens no connection. The request has seconds left: it must not use up its attempts at once.
 #[test]
-fn a_request_outlasts_a_moment_in_which_no_connection_can_be_opened() {
+fn request_is_served_after_connections_briefly_cannot_be_opened() {
     let (worker, scheduler, mut client) = deploy();
     worker.serve(echo);
     client.assert_ready();
