--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_scheduler_starts_and_serves_although_the_disk_of_its_log_is_full() {
+fn scheduler_starts_and_serves_with_a_full_log_disk() {
     let full_disk = OpenOptions::new().write(true).open("/dev/full").unwrap();
     let mut scheduler = start(Ipv4Addr::new(127, 0, 7, 1), Stdio::from(full_disk));
     FrameClient::connect(&scheduler).assert_ready();
