--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_scheduler_goes_on_after_the_reader_of_its_log_has_gone() {
+fn scheduler_serves_after_the_log_pipe_is_closed() {
     let (mut scheduler, reader) = start_with_pipe(Ipv4Addr::new(127, 0, 7, 2));
     let mut client = FrameClient::connect(&scheduler);
     client.assert_ready();
