--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_scheduler_serves_and_ends_although_nobody_reads_its_log() {
+fn scheduler_serves_and_exits_while_the_log_pipe_is_full() {
     let (mut scheduler, _reader) = start_with_pipe(Ipv4Addr::new(127, 0, 7, 3));
     let mut client = FrameClient::connect(&scheduler);
     for _ in 0..LINES_TO_FILL_A_PIPE {
