--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -31,7 +31,7 @@
 /// The process has no descriptor left for a client that waits to be accepted, and no further client connects: the
 /// client is accepted once a descriptor is free, and the lost watch of the discovery service is opened again.
 #[test]
-fn client_that_found_no_descriptor_is_accepted_once_there_is_one() {
+fn waiting_client_is_accepted_once_a_descriptor_is_free() {
     let (_worker, discovery, scheduler, watch) = deploy_watching(default_settings());
     scheduler.limit_descriptors(1);
     let mut late = FrameClient::connect(&scheduler);
