--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -47,7 +47,7 @@
 /// A client connects and sends its request while the system accepts nobody. Its time runs from then on: once it is accepted
 /// its worker must not be told of more time than it has left, 0.15 s aside.
 #[test]
-fn a_request_that_waited_to_be_accepted_has_only_the_time_that_is_left() {
+fn time_before_accept_counts_against_the_request_timeout() {
     const ALLOWED_MS: u64 = 5_000;
     const WAITS: Duration = Duration::from_millis(600);
     const SLACK_MS: u64 = 150;
