--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -72,7 +72,7 @@
 /// Each client has a request open, and the worker answers none: a third of the descriptors is the clients', and those
 /// beyond what there is are rejected. None is closed without a response.
 #[test]
-fn clients_beyond_the_descriptors_are_rejected_and_not_dropped() {
+fn clients_beyond_the_descriptor_limit_are_rejected_and_not_dropped() {
     const CLIENTS: u32 = 70;
     const DESCRIPTORS: usize = 64;
     let worker = StandInWorker::node_agent();
