--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -49,7 +49,7 @@
 #[test]
 fn time_before_accept_counts_against_the_request_timeout() {
     const ALLOWED_MS: u64 = 5_000;
-    const WAITS: Duration = Duration::from_millis(600);
+    const ACCEPT_DELAY: Duration = Duration::from_millis(600);
     const SLACK_MS: u64 = 150;
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[worker.address()]);
@@ -58,7 +58,7 @@
     late.send_idempotent(1, ALLOWED_MS, b"");
     let sent_at = Instant::now();
     scheduler.wait_for_log("accept failed");
-    thread::sleep(WAITS);
+    thread::sleep(ACCEPT_DELAY);
     scheduler.limit_descriptors(256);
     let command = worker.next_request();
     let waited_ms = sent_at.elapsed().as_millis() as u64;
