--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -58,7 +58,7 @@
 /// The clients leave while their requests wait for a connection to be established; once it is, only the request of the
 /// remaining client is written.
 #[test]
-fn requests_of_gone_clients_are_not_written_when_their_connection_comes_up() {
+fn requests_of_disconnected_clients_are_not_written_to_a_new_connection() {
     let worker = UnacceptingWorker::new();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], slow_connect_settings());
     let mut remaining = disconnect_three_of_four_clients(&scheduler, 20_000);
