--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -70,7 +70,7 @@
 
 /// The same while the requests wait in the policy, before any worker is in the endpoint list.
 #[test]
-fn requests_of_gone_clients_are_not_placed_when_a_worker_comes() {
+fn requests_of_disconnected_clients_are_not_placed_when_a_worker_becomes_ready() {
     let worker = StandInWorker::node_agent();
     let discovery = StandInDiscovery::new();
     let scheduler = Configuration::new(&[])
