--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -135,7 +135,7 @@
 
 /// A request's deadline passes and its client cancels in the same turn of the event loop: there is no response.
 #[test]
-fn cancel_in_the_turn_of_the_deadline_gets_no_answer() {
+fn cancel_in_the_same_turn_as_the_deadline_gets_no_response() {
     let worker = StandInWorker::node_agent();
     let timer_worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[worker.address()]);
