--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -35,7 +35,7 @@
 
 /// A restart under the same address: the process before may hold it for a moment longer.
 #[test]
-fn the_start_outlasts_a_predecessor_that_still_holds_the_address() {
+fn startup_waits_until_a_predecessor_releases_the_address() {
     let worker = StandInWorker::node_agent();
     let configuration = Configuration::new(&[worker.address()]);
     worker.serve(echo);
