--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -62,7 +62,7 @@
 
 /// For a moment there is no descriptor for anything, not even for the pipes of the signal handlers.
 #[test]
-fn the_start_outlasts_a_moment_without_descriptors() {
+fn startup_waits_until_descriptors_are_available() {
     /// Room for the standard streams and for one file at a time, as the program is loaded.
     const FEW: usize = 4;
     let worker = StandInWorker::node_agent();
