--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -13,7 +13,7 @@
 const SIGHUP: u32 = 1;
 
 /// How long a predecessor holds the address on.
-const PREDECESSOR_HOLDS: Duration = Duration::from_millis(600);
+const STARTUP_BLOCK_TIME: Duration = Duration::from_millis(600);
 
 /// An operator's script does not know whether the program has read its configuration yet.
 #[test]
@@ -42,7 +42,7 @@
     let predecessor = TcpListener::bind((Ipv4Addr::new(127, 0, 8, 2), 0)).unwrap();
     let address = predecessor.local_addr().unwrap();
     let mut scheduler = configuration.start_with_stderr(address, Stdio::null());
-    thread::sleep(PREDECESSOR_HOLDS);
+    thread::sleep(STARTUP_BLOCK_TIME);
     assert!(!scheduler.has_ended(), "gave up at once");
     drop(predecessor);
     assert!(scheduler.becomes_responsive());
@@ -70,7 +70,7 @@
     worker.serve(echo);
     let address = refusing_address(Ipv4Addr::new(127, 0, 8, 4));
     let mut scheduler = configuration.start_with_descriptors(address, FEW);
-    thread::sleep(PREDECESSOR_HOLDS);
+    thread::sleep(STARTUP_BLOCK_TIME);
     assert!(!scheduler.has_ended(), "gave up at once");
     scheduler.limit_descriptors(256);
     assert!(scheduler.becomes_responsive());
