--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -64,12 +64,12 @@
 #[test]
 fn startup_waits_until_descriptors_are_available() {
     /// Room for the standard streams and for one file at a time, as the program is loaded.
-    const FEW: usize = 4;
+    const DESCRIPTOR_LIMIT: usize = 4;
     let worker = StandInWorker::node_agent();
     let configuration = Configuration::new(&[worker.address()]);
     worker.serve(echo);
     let address = refusing_address(Ipv4Addr::new(127, 0, 8, 4));
-    let mut scheduler = configuration.start_with_descriptors(address, FEW);
+    let mut scheduler = configuration.start_with_descriptors(address, DESCRIPTOR_LIMIT);
     thread::sleep(STARTUP_BLOCK_TIME);
     assert!(!scheduler.has_ended(), "gave up at once");
     scheduler.limit_descriptors(256);
