--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -18,7 +18,7 @@
 /// An invalid file changes nothing; a valid one is applied while an open request continues, and the new discovery
 /// service is watched from the last event on.
 #[test]
-fn new_configuration_is_applied_whole_or_not_at_all() {
+fn new_configuration_is_applied_completely_or_rejected() {
     let (worker, _discovery, scheduler, mut watch) = deploy_watching(default_settings());
     let second = StandInWorker::node_agent();
     let moved = StandInDiscovery::new();
