--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -67,7 +67,7 @@
 /// The signal comes while the file is being written, or while it cannot be read for a moment. Nobody signals once more:
 /// the configuration is taken as soon as it is whole.
 #[test]
-fn a_configuration_that_was_half_written_is_taken_once_it_is_whole() {
+fn partially_written_configuration_is_applied_once_complete() {
     let (_worker, _discovery, scheduler, _watch) = deploy_watching(default_settings());
     let moved = StandInDiscovery::new();
     let mut config = scheduler.config.clone();
