--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -82,7 +82,7 @@
 /// A reload shortens the time after which workers close idle connections: connections that are already open are closed
 /// within the new time, or a request could cross the worker's close.
 #[test]
-fn open_connections_keep_to_the_idle_time_of_a_new_configuration() {
+fn reload_applies_the_new_idle_time_to_open_connections() {
     let worker = RawWorker::new();
     let mut settings = large_fleet_settings();
     settings["bounds"]["idleCloseNs"] = json!(600_000_000_000u64);
