--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -98,7 +98,7 @@
 
 /// A lower limit on the requests in flight on one connection applies to a connection that is already open.
 #[test]
-fn open_connection_carries_no_more_requests_than_a_new_configuration_allows() {
+fn reload_applies_the_new_request_limit_to_open_connections() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let first = client.send_request_to(&worker, 1);
     scheduler.apply_change(|config| config["settings"]["bounds"]["multiplex"] = json!(1));
