--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -109,7 +109,7 @@
 /// The new limits on retries, cancels and retry delays apply to open requests, and new requests of a removed class
 /// fail.
 #[test]
-fn open_requests_go_by_the_limits_of_a_new_configuration() {
+fn reload_applies_the_new_limits_to_open_requests() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
     let mut first = client.send_request_to(&worker, 1);
     let second = client.send_request_to(&worker, 2);
