--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn bad_line_gets_its_error_and_other_requests_go_on() {
+fn malformed_line_gets_an_error_and_other_requests_continue() {
     let (worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
     worker.serve(echo);
     let mut other = JsonRpcClient::connect(&scheduler);
