--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -91,7 +91,7 @@
 
 /// A line must be complete within a time limit; a connection without a request is closed when a new client needs one.
 #[test]
-fn unfinished_line_is_ended_and_silent_clients_make_room() {
+fn incomplete_line_times_out_and_idle_clients_are_closed_for_new_ones() {
     let worker = StandInWorker::node_agent();
     let scheduler = Configuration::new(&[worker.address()])
         .operator_file(|folder| format!("{}max_clients = 2\n", operator_file(folder)))
