--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -114,7 +114,7 @@
 
 /// A client that does not read must neither fill the scheduler's memory nor stall once it reads again.
 #[test]
-fn unread_output_holds_input_back_until_it_is_read() {
+fn unread_output_applies_backpressure_to_input() {
     let (_worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
     let mut write_half = client.try_clone_stream();
     let count = 40_000;
