--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -5,7 +5,7 @@
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, request};
-use crate::support::raw_worker::UnacceptingWorker;
+use crate::support::raw_worker::FullBacklogWorker;
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::StandInWorker;
@@ -59,7 +59,7 @@
 /// remaining client is written.
 #[test]
 fn requests_of_disconnected_clients_are_not_written_to_a_new_connection() {
-    let worker = UnacceptingWorker::new();
+    let worker = FullBacklogWorker::new();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], slow_connect_settings());
     let mut remaining = disconnect_three_of_four_clients(&scheduler, 20_000);
     let mut connection = worker.accept_waiting();
--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -20,7 +20,7 @@
     FrameClient, ReceivedFrame, code, frame, frame_type, request_to_function,
 };
 use crate::support::jsonrpc_client::operator_file;
-use crate::support::raw_worker::UnacceptingWorker;
+use crate::support::raw_worker::FullBacklogWorker;
 use crate::support::request_id;
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
@@ -255,7 +255,7 @@
     let worker = StandInWorker::node_agent();
     let address = worker.address();
     worker.serve(echo);
-    let unresponsive = UnacceptingWorker::new();
+    let unresponsive = FullBacklogWorker::new();
     let scheduler = Configuration::new(&[address])
         .settings(short_grace_settings())
         .discovery(unresponsive.address())
@@ -291,7 +291,7 @@
     let folder = TempFolder::new();
     let path = folder.file("worker.sock");
     StandInWorker::jsonrpc(&path).serve(echo);
-    let unresponsive = UnacceptingWorker::new();
+    let unresponsive = FullBacklogWorker::new();
     let scheduler = Configuration::new(&[])
         .settings(short_grace_settings())
         .discovery(unresponsive.address())
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -6,7 +6,7 @@
     StandInDiscovery, WorkerState, delta_event, heartbeat_frame, snapshot_event,
 };
 use crate::support::frame_client::{FrameClient, request_to_function};
-use crate::support::raw_worker::UnacceptingWorker;
+use crate::support::raw_worker::FullBacklogWorker;
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, large_fleet_settings, slow_connect_settings};
 use crate::support::worker::{StandInWorker, echo};
@@ -121,7 +121,7 @@
 /// worker for whose connection a request waits: the request goes to the other worker.
 #[test]
 fn request_is_placed_again_when_a_snapshot_omits_its_worker() {
-    let omitted = UnacceptingWorker::new();
+    let omitted = FullBacklogWorker::new();
     let listed = StandInWorker::node_agent();
     let discovery = StandInDiscovery::new();
     let scheduler = start_watching(slow_connect_settings(), omitted.address(), discovery.address());
@@ -149,7 +149,7 @@
 /// waits to try again.
 #[test]
 fn discovery_address_change_takes_effect_at_once() {
-    let unaccepting = UnacceptingWorker::new();
+    let unaccepting = FullBacklogWorker::new();
     for old_address in [
         unaccepting.address(),
         refusing_address(Ipv4Addr::new(127, 0, 0, 79)),
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -7,7 +7,7 @@
     FrameClient, ReceivedFrame, code, decode_frames, frame_type, go_away, idempotent_frame, request, served,
 };
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
-use crate::support::raw_worker::UnacceptingWorker;
+use crate::support::raw_worker::FullBacklogWorker;
 use crate::support::scheduler_process::{ReloadResult, SchedulerProcess};
 use crate::support::settings::{default_settings, slow_connect_settings};
 use crate::support::worker::echo;
@@ -173,7 +173,7 @@
 /// invalid reloads, a second SIGTERM and a new client with a request follow: both requests are served before the end.
 #[test]
 fn queued_and_late_requests_are_served_through_reloads_after_sigterm() {
-    let worker = UnacceptingWorker::new();
+    let worker = FullBacklogWorker::new();
     let mut scheduler = Configuration::new(&[worker.address()])
         .settings(slow_connect_settings())
         .discovery(refusing_address(Ipv4Addr::new(127, 0, 0, 78)))
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -2,7 +2,7 @@
 
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
-use crate::support::raw_worker::{RawWorker, UnacceptingWorker, success_line};
+use crate::support::raw_worker::{FullBacklogWorker, RawWorker, success_line};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::{default_settings, health_check_settings, large_fleet_settings};
 use crate::support::worker::{StandInWorker, echo};
@@ -168,7 +168,7 @@
 /// A request waits for a connection that is not established no longer than the connect timeout.
 #[test]
 fn request_moves_to_another_worker_after_the_connect_timeout() {
-    let unaccepting = UnacceptingWorker::new();
+    let unaccepting = FullBacklogWorker::new();
     let worker = StandInWorker::node_agent();
     let addresses = [unaccepting.address(), worker.address()];
     let scheduler = SchedulerProcess::start_with_settings(&addresses, default_settings());
--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -35,14 +35,14 @@
 }
 
 /// A node agent whose connections do not come up, because the system's queue of new ones is full.
-pub(crate) struct UnacceptingWorker {
+pub(crate) struct FullBacklogWorker {
     listener: TcpListener,
     _queued: TcpStream,
 }
 
-impl UnacceptingWorker {
+impl FullBacklogWorker {
     /// A worker whose queue of new connections is full.
-    pub(crate) fn new() -> UnacceptingWorker {
+    pub(crate) fn new() -> FullBacklogWorker {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -53,7 +53,7 @@
         let queued = TcpStream::connect(address).unwrap();
         let beyond_queue = TcpStream::connect_timeout(&address, Duration::from_millis(200));
         assert!(beyond_queue.is_err(), "the queue is full");
-        UnacceptingWorker {
+        FullBacklogWorker {
             listener,
             _queued: queued,
         }
