--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -62,7 +62,7 @@
     let worker = FullBacklogWorker::new();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], slow_connect_settings());
     let mut remaining = disconnect_three_of_four_clients(&scheduler, 20_000);
-    let mut connection = worker.accept_waiting();
+    let mut connection = worker.accept_pending();
     connection.serve(&request_id(3), "eA==");
     remaining.expect_served(1, b"x");
     scheduler.assert_counters([("attempts_written", 1), ("responses_served", 1)]);
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -136,7 +136,7 @@
     assert_eq!(watch.offset, 1, "an incomplete event does not count");
     watch.send(&[&full_list[..], &full_list].concat());
     scheduler.wait_for_counter("endpoint_updates", 2);
-    let mut connection = omitted.accept_waiting();
+    let mut connection = omitted.accept_pending();
     let mut command = listed.next_request();
     assert_eq!(command.request_id(), request_id(1));
     command.succeed("eA==");
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -192,7 +192,7 @@
     let mut late = FrameClient::connect(&scheduler);
     late.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 20_000, b""));
     scheduler.wait_for_counter("requests_received", 2);
-    let mut connection = worker.accept_waiting();
+    let mut connection = worker.accept_pending();
     connection.serve(&request_id(1), "eA==");
     connection.serve(&request_id(2), "eA==");
     client.expect_served(1, b"x");
--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -65,7 +65,7 @@
     }
 
     /// Lets the connection that waits come up.
-    pub(crate) fn accept_waiting(&self) -> RawConnection {
+    pub(crate) fn accept_pending(&self) -> RawConnection {
         self.listener.accept().unwrap();
         RawConnection::accept_from(&self.listener)
     }
