--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -1,7 +1,7 @@
 //! Limits on descriptors, and on the number of connections to a worker.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::deploy_watching;
+use crate::support::deployment::deploy_with_discovery;
 use crate::support::frame_client::{FrameClient, request};
 use crate::support::scheduler_process::SchedulerProcess;
 use crate::support::settings::default_settings;
@@ -32,7 +32,7 @@
 /// client is accepted once a descriptor is free, and the lost watch of the discovery service is opened again.
 #[test]
 fn waiting_client_is_accepted_once_a_descriptor_is_free() {
-    let (_worker, discovery, scheduler, watch) = deploy_watching(default_settings());
+    let (_worker, discovery, scheduler, watch) = deploy_with_discovery(default_settings());
     scheduler.limit_descriptors(1);
     let mut late = FrameClient::connect(&scheduler);
     late.send_readiness_check();
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -1,7 +1,7 @@
 //! The watch of the endpoint list: resuming, silence, moves to another address, and what its events do to requests.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::deploy_watching;
+use crate::support::deployment::deploy_with_discovery;
 use crate::support::discovery::{
     StandInDiscovery, WorkerState, delta_event, heartbeat_frame, snapshot_event,
 };
@@ -30,7 +30,7 @@
 
 #[test]
 fn draining_worker_gets_nothing_new_and_the_watch_resumes_after_the_last_event() {
-    let (first, discovery, scheduler, mut watch) = deploy_watching(default_settings());
+    let (first, discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
     let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
     let first_draining = delta_event(3, 1, first.address(), WorkerState::Draining);
@@ -64,7 +64,7 @@
 /// that it is alive.
 #[test]
 fn silent_watch_is_replaced() {
-    let (_worker, discovery, scheduler, mut watch) = deploy_watching(default_settings());
+    let (_worker, discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
     watch.send(&heartbeat_frame(1));
     let replacement = discovery.accept();
     assert_eq!(replacement.offset, 1);
@@ -74,7 +74,7 @@
 /// A service that sends heartbeats but withholds events is no better than a silent one.
 #[test]
 fn watch_whose_heartbeats_report_missing_events_is_replaced() {
-    let (_worker, discovery, scheduler, mut watch) = deploy_watching(default_settings());
+    let (_worker, discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
     let sender = std::thread::spawn(move || {
         for _ in 0..30 {
             watch.try_send(&heartbeat_frame(9));
@@ -91,7 +91,7 @@
 /// old id would reach the new machine and not count against its slow start.
 #[test]
 fn new_worker_at_an_old_address_replaces_the_old_one() {
-    let (worker, _discovery, scheduler, mut watch) = deploy_watching(large_fleet_settings());
+    let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(large_fleet_settings());
     let mut client = FrameClient::connect(&scheduler);
     let mut serve_request = |n: u32| {
         client.send_request(n, &request_to_function(n, &request_id(n), 3_000));
@@ -174,7 +174,7 @@
 /// Events of the old discovery service after the move are ignored, also if they are already in the socket buffer.
 #[test]
 fn events_of_the_old_discovery_after_the_move_are_ignored() {
-    let (worker, _discovery, scheduler, mut old_watch) = deploy_watching(default_settings());
+    let (worker, _discovery, scheduler, mut old_watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
     let moved = StandInDiscovery::new();
     move_discovery(&scheduler, moved.address());
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,7 +1,7 @@
 //! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::{deploy_watching, deploy_with_settings};
+use crate::support::deployment::{deploy_with_discovery, deploy_with_settings};
 use crate::support::discovery::{StandInDiscovery, WorkerState, delta_event};
 use crate::support::frame_client::{FrameClient, failed, rejected, request, served};
 use crate::support::jsonrpc_client::{self, JsonRpcClient, SOCKET_NAME};
@@ -19,7 +19,7 @@
 /// service is watched from the last event on.
 #[test]
 fn new_configuration_is_applied_completely_or_rejected() {
-    let (worker, _discovery, scheduler, mut watch) = deploy_watching(default_settings());
+    let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
     let moved = StandInDiscovery::new();
     watch.send(&delta_event(2, 7, second.address(), WorkerState::Draining));
@@ -68,7 +68,7 @@
 /// the configuration is taken as soon as it is whole.
 #[test]
 fn partially_written_configuration_is_applied_once_complete() {
-    let (_worker, _discovery, scheduler, _watch) = deploy_watching(default_settings());
+    let (_worker, _discovery, scheduler, _watch) = deploy_with_discovery(default_settings());
     let moved = StandInDiscovery::new();
     let mut config = scheduler.config.clone();
     config["bus"] = json!(moved.address().to_string());
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown on SIGTERM: clients are notified, open and new requests are answered, and the program ends.
 
 use crate::support::configuration::Configuration;
-use crate::support::deployment::{deploy, deploy_jsonrpc, deploy_watching, deploy_with_settings};
+use crate::support::deployment::{deploy, deploy_jsonrpc, deploy_with_discovery, deploy_with_settings};
 use crate::support::discovery::StandInDiscovery;
 use crate::support::frame_client::{
     FrameClient, ReceivedFrame, code, decode_frames, frame_type, go_away, idempotent_frame, request, served,
@@ -205,7 +205,7 @@
 #[test]
 fn reload_and_shutdown_in_one_event_loop_turn_both_take_effect() {
     for signals in [["HUP", "TERM"], ["TERM", "HUP"]] {
-        let (worker, _discovery, mut scheduler, mut old_watch) = deploy_watching(default_settings());
+        let (worker, _discovery, mut scheduler, mut old_watch) = deploy_with_discovery(default_settings());
         let moved = StandInDiscovery::new();
         let mut client = FrameClient::connect(&scheduler);
         let mut command = client.send_request_to(&worker, 1);
--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -24,7 +24,7 @@
 }
 
 /// A node agent, a discovery service, a scheduler with these settings that watches it, and its first watch connection.
-pub(crate) fn deploy_watching(
+pub(crate) fn deploy_with_discovery(
     settings: Value,
 ) -> (StandInWorker, StandInDiscovery, SchedulerProcess, WatchConnection) {
     let worker = StandInWorker::node_agent();
