--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -24,7 +24,7 @@
     let mut client = FrameClient::connect(&scheduler);
     client.send_idempotent(1, 2900, b"x");
     client.expect_served(1, b"x");
-    let descriptors = scheduler.open_descriptors();
+    let descriptors = scheduler.open_descriptor_count();
     assert!(descriptors <= 256, "{descriptors} descriptors");
 }
 
@@ -94,7 +94,7 @@
     }
     let received = scheduler.counter("requests_received") as usize;
     assert!(received >= DESCRIPTORS / 3, "{received} requests received");
-    let descriptors = scheduler.open_descriptors();
+    let descriptors = scheduler.open_descriptor_count();
     assert!(descriptors <= DESCRIPTORS, "{descriptors} descriptors");
 }
 
--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -210,7 +210,7 @@
     }
 
     /// How many descriptors the process has open.
-    pub(crate) fn open_descriptors(&self) -> usize {
+    pub(crate) fn open_descriptor_count(&self) -> usize {
         let folder = format!("/proc/{}/fd", self.process_id());
         std::fs::read_dir(folder).unwrap().count()
     }
