--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -69,7 +69,7 @@
     let configuration = Configuration::new(&[worker.address()]);
     worker.serve(echo);
     let address = refusing_address(Ipv4Addr::new(127, 0, 8, 4));
-    let mut scheduler = configuration.start_with_descriptors(address, DESCRIPTOR_LIMIT);
+    let mut scheduler = configuration.start_with_descriptor_limit(address, DESCRIPTOR_LIMIT);
     thread::sleep(STARTUP_BLOCK_TIME);
     assert!(!scheduler.has_ended(), "gave up at once");
     scheduler.limit_descriptors(256);
