--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -127,11 +127,11 @@
 
     /// Waits until the log holds this text, and returns all of the log.
     pub(crate) fn wait_for_log(&self, text: &str) -> String {
-        self.wait_for_log_times(text, 1)
+        self.wait_for_log_occurrences(text, 1)
     }
 
     /// Waits until the log holds this text so many times, and returns all of the log.
-    pub(crate) fn wait_for_log_times(&self, text: &str, times: usize) -> String {
+    pub(crate) fn wait_for_log_occurrences(&self, text: &str, times: usize) -> String {
         self.log.wait_until(text, |log| {
             (log.matches(text).count() >= times).then(|| log.to_owned())
         })
--- a/tests/vrrp.rs
+++ b/tests/vrrp.rs
@@ -185,7 +185,7 @@
     // The scheduler takes over after its skew time, which is a fraction of the peer's interval.
     peer.advertise(address, HIGHER_PRIORITY, SHORT_INTERVAL);
     peer.advertise(address, STOPPED, SHORT_INTERVAL);
-    scheduler.wait_for_log_times(BECAME_ACTIVE, 2);
+    scheduler.wait_for_log_occurrences(BECAME_ACTIVE, 2);
     expect_served(&mut client, &worker, 3);
 }
 
@@ -219,6 +219,6 @@
     active.wait_for_exit();
     let log = active.wait_for_log("ended");
     assert!(log.contains("state=Initialize was=Active"), "{log}");
-    backup.wait_for_log_times(BECAME_ACTIVE, 2);
+    backup.wait_for_log_occurrences(BECAME_ACTIVE, 2);
     expect_served(&mut client, &backup_worker, 2);
 }
