--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -204,7 +204,7 @@
     while let Some(command) = reactor.shared.scheduler.next_command() {
         pool.execute(command, &mut reactor);
     }
-    let reader = std::thread::spawn(move || connection.complete_requests_until_quiet());
+    let reader = std::thread::spawn(move || connection.count_complete_requests());
     while !reader.is_finished() {
         poll_briefly(&mut reactor);
     }
--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -106,7 +106,7 @@
     }
 
     /// Reads until the connection ends or nothing has come for a while; how many requests were complete.
-    pub(crate) fn complete_requests_until_quiet(&mut self) -> u64 {
+    pub(crate) fn count_complete_requests(&mut self) -> u64 {
         self.stream.set_read_timeout(Some(QUIET_TIME)).unwrap();
         let mut input = vec![];
         let mut chunk = [0; 1 << 16];
