--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -242,7 +242,7 @@
         let mut harness = PolicyHarness::new(settings.clone(), 3);
         harness.watch_changed(WatchStatus::Confirmed);
         let actions = harness.receive(request(1, 7));
-        let last_miss = harness.miss_everywhere(actions);
+        let last_miss = harness.miss_every_attempt(actions);
         assert_eq!(
             requested_loads(&last_miss).len(),
             1,
--- a/tests/policy/prewarm.rs
+++ b/tests/policy/prewarm.rs
@@ -82,13 +82,13 @@
     let mut rare_loads = vec![];
     for n in 0..40 {
         let actions = harness.receive(request(n, 1000 + u64::from(n)));
-        rare_loads.extend(requested_loads(&harness.miss_everywhere(actions)));
+        rare_loads.extend(requested_loads(&harness.miss_every_attempt(actions)));
     }
     assert!(!rare_loads.is_empty() && rare_loads.len() <= 4, "{rare_loads:?}");
     let mut popular_loads = vec![];
     for n in 100..103 {
         let actions = harness.receive(request(n, 7));
-        popular_loads.extend(requested_loads(&harness.miss_everywhere(actions)));
+        popular_loads.extend(requested_loads(&harness.miss_every_attempt(actions)));
     }
     popular_loads.extend(requested_loads(&harness.advance_ms(100)));
     assert!(
--- a/tests/support/policy_harness.rs
+++ b/tests/support/policy_harness.rs
@@ -153,7 +153,7 @@
     }
 
     /// Answers every attempt of a request with a miss for as long as the policy retries it; the last actions.
-    pub(crate) fn miss_everywhere(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
+    pub(crate) fn miss_every_attempt(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
         while !workers_sent_to(&actions).is_empty() {
             actions = self.finish_last_attempt(AttemptStatus::Miss);
         }
