--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -1,7 +1,7 @@
 //! Tests of the platform's configuration file: its values and defaults, and the values that are rejected.
 
 use super::assert_error;
-use super::support::settings::least_settings;
+use super::support::settings::minimal_settings;
 use function_scheduler::config::{
     ConfigDocument, ConfigError, ConfigProblem, SchedulerConfig, parse_scheduler_config,
 };
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_configuration_has_defaults_and_its_events_are_in_order() {
-    let least = json!({"listen": "127.0.0.1:1", "settings": least_settings()});
+    let least = json!({"listen": "127.0.0.1:1", "settings": minimal_settings()});
     let config = accepted(&least);
     assert_eq!(
         (config.name.as_str(), config.seed, config.discovery_service),
--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -2,14 +2,14 @@
 //! new settings.
 
 use super::assert_error;
-use super::support::settings::{least_settings, settings_with, site};
+use super::support::settings::{minimal_settings, settings_with, site};
 use function_scheduler::config::{ConfigDocument, parse_settings};
 use function_scheduler::*;
 use serde_json::{Value, json};
 
 #[test]
 fn settings_have_these_defaults() {
-    let site = site(&least_settings()).unwrap();
+    let site = site(&minimal_settings()).unwrap();
     assert_eq!((site.attempts_per_connection, site.max_open_requests), (32, 4096));
     assert_eq!(
         (site.idle_timeout, site.connect_timeout),
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -11,7 +11,7 @@
 }
 
 /// The least settings that are accepted.
-pub(crate) fn least_settings() -> Value {
+pub(crate) fn minimal_settings() -> Value {
     json!({
         "fleetSize": 1, "index": 0, "classes": [],
         "bounds": {"mostTries": 3},
@@ -22,7 +22,7 @@
 
 /// The least settings with another value of one key.
 pub(crate) fn settings_with(key: &str, value: Value) -> Value {
-    let mut settings = least_settings();
+    let mut settings = minimal_settings();
     settings[key] = value;
     settings
 }
