--- a/tests/config/operator_file.rs
+++ b/tests/config/operator_file.rs
@@ -1,7 +1,7 @@
 //! Tests of the operator's file: its values and defaults, and the values that are rejected.
 
 use super::assert_error;
-use super::support::settings::{settings_with, site};
+use super::support::settings::{minimal_settings_with, site};
 use function_scheduler::config::{
     ConfigDocument, ConfigProblem, JsonRpcConfig, JsonRpcWorkerConfig, JsonRpcWorkerEndpoint, VrrpConfig,
     parse_operator_config,
@@ -106,7 +106,7 @@
 
 #[test]
 fn jsonrpc_workers_become_endpoints_in_the_zone_and_of_the_kind_that_they_name() {
-    let mut settings = settings_with("zones", json!(["a", "b"]));
+    let mut settings = minimal_settings_with("zones", json!(["a", "b"]));
     settings["kinds"] = json!(["k", "l"]);
     let text = "[[checkers]]\nid = \"s-0000c001\"\nsocket = \"c\"\nzone = \"b\"\nkind = \"l\"\nweight = 2.5\n\
         [[checkers]]\nid = \"s-0000c002\"\nsocket = \"d\"\nzone = \"unknown\"";
--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -2,7 +2,7 @@
 //! new settings.
 
 use super::assert_error;
-use super::support::settings::{minimal_settings, settings_with, site};
+use super::support::settings::{minimal_settings, minimal_settings_with, site};
 use function_scheduler::config::{ConfigDocument, parse_settings};
 use function_scheduler::*;
 use serde_json::{Value, json};
@@ -41,7 +41,7 @@
 #[test]
 fn settings_give_the_metrics_of_a_load_report_and_the_limit_on_load_orders() {
     let names = json!({"names": ["busy_reqs", "pending", "cpu_share", "x1", "x0", "temperature"]});
-    let mut settings = settings_with("loadInfo", names);
+    let mut settings = minimal_settings_with("loadInfo", names);
     settings["familyInfo"] =
         json!({"keepNs": 4, "notLoaded": "miss", "loadSpanNs": 5, "loadsAnyway": 3, "loadPart": 0.5});
     let settings = parse_settings(settings.to_string().as_bytes()).unwrap();
@@ -71,7 +71,7 @@
         class["objectiveNs"] = json!(1);
         class["deadlineNs"] = json!(2);
         class[key] = value;
-        settings_with("classes", json!([class]))
+        minimal_settings_with("classes", json!([class]))
     };
     assert!(site(&class("name", json!("complete"))).is_ok());
     let on_miss = json!({"keepNs": 4, "notLoaded": "wait", "loadSpanNs": 0});
@@ -97,7 +97,7 @@
             "classes[0] lacks repeatWindowNs",
         ),
         (
-            settings_with("familyInfo", on_miss),
+            minimal_settings_with("familyInfo", on_miss),
             "familyInfo.notLoaded",
             "familyInfo.notLoaded is 'wait'",
         ),
@@ -111,7 +111,7 @@
             &format!("settings: {problem}"),
         );
     }
-    let wrong_type = site(&settings_with("bounds", json!("none")))
+    let wrong_type = site(&minimal_settings_with("bounds", json!("none")))
         .unwrap_err()
         .to_string();
     let expected = "settings: invalid type: string \"none\", expected struct Bounds at line 1 column ";
@@ -125,7 +125,7 @@
     let site = |names: &[&str]| {
         let class = |(deadline, name)| json!({"name": name, "deadlineNs": deadline, "effect": "retryable", "objectiveNs": 1});
         let classes: Vec<Value> = names.iter().enumerate().map(class).collect();
-        site(&settings_with("classes", json!(classes))).unwrap()
+        site(&minimal_settings_with("classes", json!(classes))).unwrap()
     };
     let merged = site(&["a", "b"]).reloaded_with(site(&["c", "b", ""]));
     let places: Vec<_> = ["a", "b", "c", ""].map(|name| merged.class_index(name)).to_vec();
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -21,7 +21,7 @@
 }
 
 /// The least settings with another value of one key.
-pub(crate) fn settings_with(key: &str, value: Value) -> Value {
+pub(crate) fn minimal_settings_with(key: &str, value: Value) -> Value {
     let mut settings = minimal_settings();
     settings[key] = value;
     settings
