--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -73,7 +73,8 @@
 impl ListLease {
     /// Updates the lease for a change of the watch at `at`.
     fn update(&mut self, at: Time, status: WatchStatus) {
-        let no_later_than = |limit: Time| self.notified_from.map_or(limit, |present| present.min(limit));
+        let earlier_of_current_and =
+            |limit: Time| self.notified_from.map_or(limit, |present| present.min(limit));
         if status == WatchStatus::Confirmed {
             self.confirmed_at = at;
         }
@@ -82,10 +83,10 @@
             WatchStatus::Disabled => None,
             // A request counts as notification of everything published before it, no matter when its
             // response arrives.
-            WatchStatus::Requested => Some(no_later_than(at)),
+            WatchStatus::Requested => Some(earlier_of_current_and(at)),
             WatchStatus::EventReceived => Some(no_earlier_than(at + HEARTBEAT_INTERVAL)),
             WatchStatus::Confirmed => Some(at + NOTIFIED_AFTER_SILENCE),
-            WatchStatus::Disconnected => Some(no_later_than(at + NOTIFIED_AFTER_DISCONNECT)),
+            WatchStatus::Disconnected => Some(earlier_of_current_and(at + NOTIFIED_AFTER_DISCONNECT)),
         };
     }
 }
