--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -78,13 +78,14 @@
         if status == WatchStatus::Confirmed {
             self.confirmed_at = at;
         }
-        let no_earlier_than = |limit: Time| self.notified_from.map_or(limit, |present| present.max(limit));
+        let later_of_current_and =
+            |limit: Time| self.notified_from.map_or(limit, |present| present.max(limit));
         self.notified_from = match status {
             WatchStatus::Disabled => None,
             // A request counts as notification of everything published before it, no matter when its
             // response arrives.
             WatchStatus::Requested => Some(earlier_of_current_and(at)),
-            WatchStatus::EventReceived => Some(no_earlier_than(at + HEARTBEAT_INTERVAL)),
+            WatchStatus::EventReceived => Some(later_of_current_and(at + HEARTBEAT_INTERVAL)),
             WatchStatus::Confirmed => Some(at + NOTIFIED_AFTER_SILENCE),
             WatchStatus::Disconnected => Some(earlier_of_current_and(at + NOTIFIED_AFTER_DISCONNECT)),
         };
