--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -68,9 +68,9 @@
         }
         let workers = self.cluster.workers.values();
         let leases = workers.filter_map(|worker| self.expected_lease(worker));
-        let lasting: Vec<Time> = leases.filter(|expires_at| *expires_at > limit).collect();
-        let is_few = lasting.len() < SUFFICIENT_LEASES;
-        is_few.then(|| lasting.into_iter().max().unwrap_or(limit))
+        let later_expiries: Vec<Time> = leases.filter(|expires_at| *expires_at > limit).collect();
+        let is_few = later_expiries.len() < SUFFICIENT_LEASES;
+        is_few.then(|| later_expiries.into_iter().max().unwrap_or(limit))
     }
 }
 
