--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -45,7 +45,7 @@
         if !is_new(request) || self.now >= waits_until {
             return None;
         }
-        let last_lease = self.last_of_few_leases(self.now.max(stale_at))?;
+        let last_lease = self.last_expiry_of_few_leases(self.now.max(stale_at))?;
         let due_at = last_lease - self.usable_grace().mul_f64(RENEWAL_MARGIN);
         Some(due_at.min(waits_until))
     }
@@ -61,7 +61,7 @@
     /// `limit`.
     ///
     /// Returns `None` also if a worker needs no lease.
-    fn last_of_few_leases(&self, limit: Time) -> Option<Time> {
+    fn last_expiry_of_few_leases(&self, limit: Time) -> Option<Time> {
         let mut workers = self.cluster.workers.values();
         if workers.any(|worker| worker.endpoint.source == EndpointSource::Configuration) {
             return None;
