--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -45,8 +45,8 @@
         if !is_new(request) || self.now >= waits_until {
             return None;
         }
-        let last_lease = self.last_expiry_of_few_leases(self.now.max(stale_at))?;
-        let due_at = last_lease - self.usable_grace().mul_f64(RENEWAL_MARGIN);
+        let last_expiry = self.last_expiry_of_few_leases(self.now.max(stale_at))?;
+        let due_at = last_expiry - self.usable_grace().mul_f64(RENEWAL_MARGIN);
         Some(due_at.min(waits_until))
     }
 
