--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -102,9 +102,9 @@
         let workers = retain_unless_few(workers, MIN_HEALTHY_FRACTION, is_healthy);
         let in_flight: f64 = workers.iter().map(|w| w.load.total_in_flight()).sum();
         let mean = in_flight / workers.len().max(1) as f64;
-        let most = mean * HOTSPOT_FACTOR + HOTSPOT_ALLOWANCE;
+        let max_in_flight = mean * HOTSPOT_FACTOR + HOTSPOT_ALLOWANCE;
         retain_unless_few(workers, MIN_NON_HOTSPOT_FRACTION, |w| {
-            w.load.total_in_flight() <= most
+            w.load.total_in_flight() <= max_in_flight
         })
     }
 
