--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -61,11 +61,11 @@
         // Attempts were not sent because this process lacks a resource, which another attempt at once would
         // lack too.
         let is_out_of_resources = request.consecutive_unsent() > 1;
-        let is_over = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
+        let is_out_of_time = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
         if outcome.status == AttemptStatus::Miss {
             self.load_missing_instance(&attempt);
         }
-        if is_over || !self.may_retry(attempt.class, first_run) {
+        if is_out_of_time || !self.may_retry(attempt.class, first_run) {
             self.reject_or_fail(id, RejectionCause::NotServed);
         } else if is_out_of_resources {
             self.schedule(RETRY_DELAY, Timer::Placement(id));
