--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -41,7 +41,7 @@
     }
 
     /// Drops requests that have left the limit's window, or all requests if there is no limit.
-    pub(super) fn forget_old_requests(&mut self, now: Time, limit: Option<LoadRateLimit>) {
+    pub(super) fn drop_old_requests(&mut self, now: Time, limit: Option<LoadRateLimit>) {
         let Some(limit) = limit else {
             self.requests.clear();
             return;
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -199,7 +199,7 @@
             }
         }
         let limit = self.site.settings.safety_limits.load_rate_limit;
-        self.load_rate_limiter.forget_old_requests(now, limit);
+        self.load_rate_limiter.drop_old_requests(now, limit);
     }
 
     /// Executes an action of the policy: updates the state and emits commands.
--- a/src/scheduler/tests/load_rate_limiter.rs
+++ b/src/scheduler/tests/load_rate_limiter.rs
@@ -42,7 +42,7 @@
         let mut limiter = LoadRateLimiter::default();
         limiter.record_request(at_millis(0));
         limiter.record_request(at_millis(0));
-        limiter.forget_old_requests(now, LIMIT);
+        limiter.drop_old_requests(now, LIMIT);
         let written = (0..5).filter(|_| limiter.try_acquire(now, LIMIT)).count();
         assert_eq!(written, expected);
     }
@@ -67,7 +67,7 @@
     let mut limiter = LoadRateLimiter::default();
     limiter.record_request(at_millis(0));
     limiter.record_request(at_millis(0));
-    limiter.forget_old_requests(at_millis(0), None);
+    limiter.drop_old_requests(at_millis(0), None);
     let written = (0..5)
         .filter(|_| limiter.try_acquire(at_millis(0), LIMIT))
         .count();
