--- a/src/scheduler/load_orders.rs
+++ b/src/scheduler/load_orders.rs
@@ -7,8 +7,8 @@
 
 impl Scheduler {
     /// Returns the number of written load orders that the load rate limit keeps track of.
-    pub fn load_orders_remembered(&self) -> usize {
-        self.load_rate_limiter.load_orders_remembered()
+    pub fn retained_load_orders(&self) -> usize {
+        self.load_rate_limiter.retained_load_orders()
     }
 
     /// Ends a load order with the worker's response or with the failure of its exchange.
--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the number of written load orders that are kept.
-    pub(super) fn load_orders_remembered(&self) -> usize {
+    pub(super) fn retained_load_orders(&self) -> usize {
         self.load_orders.len()
     }
 }
--- a/src/scheduler/tests/load_rate_limiter.rs
+++ b/src/scheduler/tests/load_rate_limiter.rs
@@ -55,10 +55,10 @@
     for millis in 0..3 {
         assert!(limiter.try_acquire(at_millis(millis), None));
     }
-    assert_eq!(limiter.load_orders_remembered(), 3);
+    assert_eq!(limiter.retained_load_orders(), 3);
     assert!(!limiter.try_acquire(at_millis(10), LIMIT));
     assert!(limiter.try_acquire(at_millis(60_003), None));
-    assert_eq!(limiter.load_orders_remembered(), 1, "none is kept indefinitely");
+    assert_eq!(limiter.retained_load_orders(), 1, "none is kept indefinitely");
 }
 
 /// Without a limit there is no window, so nothing would ever drop the requests.
--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -165,7 +165,7 @@
             admits_load_order_of(&mut scheduler, n, time_of(n)),
             "no rate limit yet"
         );
-        let remembered = scheduler.load_orders_remembered();
+        let remembered = scheduler.retained_load_orders();
         assert!(remembered < 700, "{remembered} after {n}");
     }
     settings["familyInfo"]["loadSpanNs"] = json!(5_000_000_000u64);
