--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -55,7 +55,7 @@
             expected_warm,
         };
         self.attempts.insert(AttemptId { request: id, number }, attempt);
-        worker.load.begin();
+        worker.load.begin_request();
         worker.acceptance.record_sent(now);
         worker.instance_mut(request.function).in_flight += 1;
         let work = self.baseline_latency[request.class].value();
--- a/src/stats/load_estimate.rs
+++ b/src/stats/load_estimate.rs
@@ -31,7 +31,7 @@
     }
 
     /// Records that this process sent a request.
-    pub(crate) fn begin(&mut self) {
+    pub(crate) fn begin_request(&mut self) {
         self.in_flight += 1;
     }
 
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -120,8 +120,8 @@
 #[test]
 fn a_load_estimate_adds_what_others_have_in_flight_until_it_decays() {
     let mut load = LoadEstimate::default();
-    load.begin();
-    load.begin();
+    load.begin_request();
+    load.begin_request();
     load.report(6.0);
     assert_eq!((load.in_flight(), load.total_in_flight()), (2, 6.0));
     load.decay(0.5);
@@ -142,7 +142,7 @@
 #[test]
 fn an_expected_load_counts_the_new_request_and_weighs_the_latency() {
     let mut load = LoadEstimate::default();
-    load.begin();
+    load.begin_request();
     assert_eq!(load.expected(Time(0), &BOUNDS), 2.0);
     load.record_latency(2.0, Time(0), &BOUNDS);
     assert_eq!(load.expected(Time(0), &BOUNDS), 3.0);
