--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -114,7 +114,7 @@
             self.load.report(reported);
         }
         self.acceptance.record(attempt, status);
-        self.load.end();
+        self.load.end_request();
         self.instance_mut(attempt.function).end_request();
         was_silent
     }
--- a/src/stats/load_estimate.rs
+++ b/src/stats/load_estimate.rs
@@ -36,7 +36,7 @@
     }
 
     /// Records that a request of this process ended.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn end_request(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -126,7 +126,7 @@
     assert_eq!((load.in_flight(), load.total_in_flight()), (2, 6.0));
     load.decay(0.5);
     assert_eq!(load.total_in_flight(), 4.0);
-    load.end();
+    load.end_request();
     assert_eq!(load.total_in_flight(), 3.0);
     load.report(0.0);
     assert_eq!(
@@ -134,8 +134,8 @@
         1.0,
         "the own count takes precedence over a lower report"
     );
-    load.end();
-    load.end();
+    load.end_request();
+    load.end_request();
     assert_eq!(load.in_flight(), 0);
 }
 
