--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -122,7 +122,7 @@
         let expected_warm = instance.is_loaded(self.now) || instance.in_flight > 0 || is_replica;
         Candidate {
             worker: worker.endpoint.worker,
-            load: self.load(worker),
+            load: self.weighted_load(worker),
             has_capacity: self.has_capacity(worker, request.class),
             queued_requests: (instance.in_flight + 1).saturating_sub(function.concurrency),
             expected_warm: expected_warm && !missed,
@@ -134,7 +134,7 @@
 
     /// Returns the load of a worker for a new request: the requests in flight there, weighted by latency and
     /// zone.
-    pub(super) fn load(&self, worker: &Worker) -> f64 {
+    pub(super) fn weighted_load(&self, worker: &Worker) -> f64 {
         let is_local = worker.endpoint.zone == self.settings.zone;
         let price = self.settings.prices.cross_zone;
         let cross_zone = if is_local { 0.0 } else { price };
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -119,7 +119,7 @@
         let warm_workers = placement.candidates.iter().filter(|c| c.is_presumed_warm);
         let warm_workers = warm_workers.count();
         let next = placement.candidates.iter().find(|c| !c.is_presumed_warm);
-        let best_load = self.load(&self.cluster.workers[&best]);
+        let best_load = self.weighted_load(&self.cluster.workers[&best]);
         if let Some(next) = next.filter(|next| next.load + SCALE_OUT_MARGIN < best_load)
             && warm_workers < placement.wanted_instances
             && self.pending_loads(placement.function) == 0
