--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn a_limit_increases_while_it_is_used_and_up_to_its_greatest_value() {
+fn a_limit_increases_while_it_is_used_up_to_its_maximum() {
     let mut limit = AimdLimit::default();
     limit.increase(2, &LIMIT);
     assert_eq!(limit.value(&LIMIT), 4.0, "more than the headroom is free");
