--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_limit_decreases_once_in_an_interval_and_down_to_its_least_value() {
+fn a_limit_decreases_once_per_interval_down_to_its_minimum() {
     let mut limit = AimdLimit::default();
     limit.increase(4, &LIMIT);
     limit.decrease(Time(101), &LIMIT);
