--- a/src/collections/tests/limits.rs
+++ b/src/collections/tests/limits.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_peer_is_checked_once_at_a_time_and_unanswered_checks_are_counted_in_a_row() {
+fn only_one_check_is_pending_at_a_time_and_consecutive_unanswered_checks_are_counted() {
     let mut liveness = Liveness::default();
     assert!(liveness.begin_check() && !liveness.begin_check());
     assert_eq!(liveness.end_check(false, Time(10)), 1);
