--- a/src/collections/tests/backoff.rs
+++ b/src/collections/tests/backoff.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_backoff_begins_only_where_none_is_under_way() {
+fn a_backoff_begins_only_if_none_is_active() {
     let mut timer = BackoffTimer::default();
     timer.begin(Time(0), BACKOFF);
     timer.begin(Time(50), BACKOFF);
