--- a/src/collections/tests/backoff.rs
+++ b/src/collections/tests/backoff.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_wait_can_be_extended_without_a_failure() {
+fn a_backoff_can_be_extended_without_a_failure() {
     let mut timer = BackoffTimer::default();
     timer.extend_until(Time(50));
     timer.extend_until(Time(20));
