--- a/src/cluster/tests/instances.rs
+++ b/src/cluster/tests/instances.rs
@@ -6,7 +6,7 @@
 use crate::model::{Span, Time, WorkerId};
 
 #[test]
-fn an_instance_is_expected_loaded_until_it_expires_or_a_miss() {
+fn an_instance_is_expected_to_be_loaded_until_its_expiry_or_a_miss() {
     let mut instance = Instance::default();
     assert!(!instance.is_loaded(Time(0)) && !instance.missed_within(Time(0), SECOND));
     instance.confirm(Time(100));
