--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn attempts_are_known_by_worker_while_requests_wait_for_them() {
+fn attempts_on_a_worker_are_listed_while_requests_wait_for_them() {
     let mut cluster = cluster();
     send(&mut cluster, 1, 1, Time(20));
     send(&mut cluster, 2, 1, Time(21));
