--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_response_is_what_the_worker_itself_has_answered() {
+fn only_statuses_that_the_worker_itself_reported_are_responses() {
     use AttemptStatus::*;
     for status in [Ok, Error, AtCapacity, Miss] {
         assert!(status.is_response(), "{status:?}");
