--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_client_may_repeat_what_all_workers_drop() {
+fn a_client_may_retry_only_if_a_repeat_is_harmless_on_every_worker() {
     assert!(Idempotency::Idempotent.permits_client_retry());
     assert!(keyed(DeduplicationScope::All).permits_client_retry());
     assert!(!keyed(DeduplicationScope::Zone).permits_client_retry());
