--- a/src/model/tests.rs
+++ b/src/model/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_repeat_is_permitted_where_it_is_dropped() {
+fn a_repeat_is_permitted_only_on_workers_that_drop_it() {
     let first = Endpoint {
         zone: ZoneId(1),
         cell: CellId(1),
