--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_load_estimate_adds_what_others_have_in_flight_until_it_decays() {
+fn a_load_estimate_includes_reported_requests_of_others_until_they_decay() {
     let mut load = LoadEstimate::default();
     load.begin_request();
     load.begin_request();
