--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_expected_load_counts_the_new_request_and_weighs_the_latency() {
+fn an_expected_load_includes_the_new_request_and_the_latency_ratio() {
     let mut load = LoadEstimate::default();
     load.begin_request();
     assert_eq!(load.expected(Time(0), &BOUNDS), 2.0);
