--- a/src/cluster/tests/endpoints.rs
+++ b/src/cluster/tests/endpoints.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_hash_order_contains_all_workers_and_respects_list_and_weights() {
+fn the_hash_order_contains_all_workers_and_prefers_heavier_ones() {
     let mut cluster = cluster();
     let mut order = cluster.hash_order(FUNCTION);
     order.sort_unstable();
