--- a/src/collections/tests/rendezvous.rs
+++ b/src/collections/tests/rendezvous.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_rendezvous_order_holds_each_node_and_keeps_the_others_when_one_leaves() {
+fn a_rendezvous_order_contains_each_node_and_keeps_the_others_in_order_if_one_is_removed() {
     for key in 0..100 {
         let order = weighted_rendezvous_order(key, nodes(&[1.0; 8]));
         assert_eq!(order.iter().copied().collect::<BTreeSet<_>>().len(), 8);
