--- a/src/collections/tests/selection.rs
+++ b/src/collections/tests/selection.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn items_are_left_out_unless_few_would_be_left() {
+fn failing_items_are_left_out_unless_too_few_would_remain() {
     let even = |number: &u32| number.is_multiple_of(2);
     assert_eq!(retain_unless_few(vec![1, 2, 3, 4], 0.5, even), [2, 4]);
     assert_eq!(retain_unless_few(vec![1, 2, 3], 0.5, even), [1, 2, 3]);
