--- a/src/scheduler/tests/load_rate_limiter.rs
+++ b/src/scheduler/tests/load_rate_limiter.rs
@@ -50,7 +50,7 @@
 
 /// A new configuration may set a limit, and load orders written before then count against it.
 #[test]
-fn without_a_limit_load_orders_are_remembered_for_a_while() {
+fn without_a_limit_load_orders_are_retained_for_a_limited_time() {
     let mut limiter = LoadRateLimiter::default();
     for millis in 0..3 {
         assert!(limiter.try_acquire(at_millis(millis), None));
