--- a/src/scheduler/tests/load_rate_limiter.rs
+++ b/src/scheduler/tests/load_rate_limiter.rs
@@ -63,7 +63,7 @@
 
 /// Without a limit there is no window, so nothing would ever drop the requests.
 #[test]
-fn without_a_limit_requests_are_not_remembered() {
+fn without_a_limit_requests_are_not_retained() {
     let mut limiter = LoadRateLimiter::default();
     limiter.record_request(at_millis(0));
     limiter.record_request(at_millis(0));
