--- a/src/scheduler/tests/recent_functions.rs
+++ b/src/scheduler/tests/recent_functions.rs
@@ -4,7 +4,7 @@
 use crate::scheduler::recent_functions::RecentFunctions;
 
 #[test]
-fn a_function_is_remembered_for_one_to_two_generations() {
+fn a_function_is_retained_for_one_to_two_generations() {
     let mut functions = RecentFunctions::default();
     functions.record(at_millis(0), FunctionId(1));
     functions.record(at_millis(60_000), FunctionId(2));
