--- a/src/cluster/tests/attempts.rs
+++ b/src/cluster/tests/attempts.rs
@@ -7,7 +7,7 @@
 };
 
 #[test]
-fn a_request_counts_its_attempts_and_remembers_the_first_that_may_have_run() {
+fn a_request_counts_its_attempts_and_records_the_first_that_may_have_run() {
     let mut request = Request::new(&incoming(1), SECOND, Time(5));
     assert_eq!((request.deadline, request.attempts()), (Time(5) + SECOND, 0));
     assert!(request.never_ran());
