--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -171,23 +171,23 @@
     ///
     /// Returns the system error. The registration is unchanged then, and must be retried.
     pub(super) fn register(&mut self, registry: &Registry) -> io::Result<()> {
-        let wanted = self.wanted_interest();
+        let required = self.required_interest();
         let renew = self.input_left_in_socket && !self.reading_paused();
-        if self.interest == Some(wanted) && !renew {
+        if self.interest == Some(required) && !renew {
             return Ok(());
         }
         match self.interest {
-            None => registry.register(self.stream.source(), self.token, wanted)?,
-            Some(_) => registry.reregister(self.stream.source(), self.token, wanted)?,
+            None => registry.register(self.stream.source(), self.token, required)?,
+            Some(_) => registry.reregister(self.stream.source(), self.token, required)?,
         }
-        self.interest = Some(wanted);
+        self.interest = Some(required);
         if renew {
             self.input_left_in_socket = false;
         }
         Ok(())
     }
 
-    fn wanted_interest(&self) -> Interest {
+    fn required_interest(&self) -> Interest {
         if !self.connected {
             Interest::WRITABLE
         } else if self.unsent_bytes() > 0 {
