--- a/src/backend/node_agent_codec.rs
+++ b/src/backend/node_agent_codec.rs
@@ -72,7 +72,7 @@
 }
 
 /// Encodes a command that consists only of a verb and an id.
-fn bare_command(verb: CommandVerb, rid: &str) -> Vec<u8> {
+fn command_without_attributes(verb: CommandVerb, rid: &str) -> Vec<u8> {
     json_line(&AgentCommand {
         attrs: None,
         content: None,
@@ -142,7 +142,7 @@
     }
 
     fn encode_cancel(&self, correlation_id: &str) -> Vec<u8> {
-        bare_command(CommandVerb::Halt, correlation_id)
+        command_without_attributes(CommandVerb::Halt, correlation_id)
     }
 
     fn encode_load(&self, correlation_id: &str, function: FunctionId, instances: u8) -> Vec<u8> {
@@ -159,11 +159,11 @@
     }
 
     fn encode_unload(&self, function: FunctionId) -> Vec<u8> {
-        bare_command(CommandVerb::Purge, &function_name(function))
+        command_without_attributes(CommandVerb::Purge, &function_name(function))
     }
 
     fn encode_health_check(&self, correlation_id: &str) -> Vec<u8> {
-        bare_command(CommandVerb::Stat, correlation_id)
+        command_without_attributes(CommandVerb::Stat, correlation_id)
     }
 
     fn decode(&self, line: &[u8]) -> Result<WorkerMessage, DecodeError> {
