--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -61,7 +61,7 @@
     }
 
     /// Reads the available input of a connection, which may have been waiting since the given time.
-    pub fn read_waiting_input(&mut self, id: ConnectionId, since: Time) {
+    pub fn read_pending_input(&mut self, id: ConnectionId, since: Time) {
         self.set_earliest_input_at(id, Some(since));
         self.call(id, |managed, context| managed.handle_event(true, context));
         self.set_earliest_input_at(id, None);
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -151,14 +151,14 @@
         };
         let limits = FrameConnection::buffer_limits();
         let client = reactor.add_connected(stream, Box::new(connection), limits);
-        self.read_waiting_input(client, reactor);
+        self.read_pending_input(client, reactor);
     }
 
     /// Reads immediately what a client sent while it waited to be accepted, because less time is left for
     /// its requests.
-    fn read_waiting_input(&self, client: Option<ConnectionId>, reactor: &mut Reactor) {
+    fn read_pending_input(&self, client: Option<ConnectionId>, reactor: &mut Reactor) {
         if let (Some(client), Some(since)) = (client, self.blocked_since) {
-            reactor.read_waiting_input(client, since);
+            reactor.read_pending_input(client, since);
         }
     }
 
@@ -178,7 +178,7 @@
         let connection = Box::new(JsonRpcConnection::new(now, max_line));
         let limits = JsonRpcConnection::buffer_limits(max_line);
         let client = reactor.add_connected(stream, connection, limits);
-        self.read_waiting_input(client, reactor);
+        self.read_pending_input(client, reactor);
         self.jsonrpc_clients.extend(client);
     }
 
