--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -87,7 +87,7 @@
     }
 
     /// Replaces the statically configured workers; returns `None` if there were none before and are none now.
-    pub(crate) fn set_configured(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
+    pub(crate) fn set_configured_workers(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
         let previous = std::mem::replace(&mut self.configured, configured);
         let configured: BTreeSet<WorkerId> = self.configured_workers().collect();
         for worker in &configured {
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -105,8 +105,8 @@
     }
 
     /// Replaces the statically configured workers; returns `None` if there were none before and are none now.
-    pub(crate) fn set_configured(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
-        self.endpoints.set_configured(configured)
+    pub(crate) fn set_configured_workers(&mut self, configured: Vec<Endpoint>) -> Option<EndpointChange> {
+        self.endpoints.set_configured_workers(configured)
     }
 
     /// Opens a connection to the discovery service if there is none and the next one is due.
--- a/src/discovery/tests/endpoint_list.rs
+++ b/src/discovery/tests/endpoint_list.rs
@@ -169,9 +169,9 @@
         endpoints: vec![gone, kept],
         address_changes: vec![removed(8)],
     };
-    assert_eq!(list.set_configured(vec![kept]), Some(expected));
-    assert!(list.set_configured(Vec::new()).is_some());
-    assert_eq!(list.set_configured(Vec::new()), None);
+    assert_eq!(list.set_configured_workers(vec![kept]), Some(expected));
+    assert!(list.set_configured_workers(Vec::new()).is_some());
+    assert_eq!(list.set_configured_workers(Vec::new()), None);
 }
 
 #[test]
@@ -179,7 +179,7 @@
     let (worker, other) = (started_endpoint(1, 20), started_endpoint(2, 10));
     let mut list = EndpointList::new(Vec::new());
     list.apply_watch_event(delta(1, vec![record(worker, 81)]));
-    list.set_configured(vec![worker]);
+    list.set_configured_workers(vec![worker]);
     let change = list.apply_watch_event(delta(2, vec![record(other, 81)]));
     assert_eq!(change.endpoints, [other]);
 }
--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -41,7 +41,7 @@
     /// Replaces the workers that the operator's file lists.
     pub(super) fn set_configured_workers(&mut self, now: Time, operator: &OperatorConfig) {
         let configured = assign_jsonrpc_worker_addresses(operator, &self.config.site, &mut self.pool);
-        if let Some(change) = self.discovery.set_configured(configured) {
+        if let Some(change) = self.discovery.set_configured_workers(configured) {
             self.apply_endpoint_change(now, change);
         }
     }
