--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -91,7 +91,7 @@
         let previous = std::mem::replace(&mut self.configured, configured);
         let configured: BTreeSet<WorkerId> = self.configured_workers().collect();
         for worker in &configured {
-            self.forget(*worker);
+            self.remove_process(*worker);
         }
         let mut change = EndpointChange::new(EndpointUpdateKind::Delta);
         for endpoint in previous {
@@ -190,7 +190,7 @@
             address,
             started_at,
         };
-        self.forget(worker);
+        self.remove_process(worker);
         self.watched.insert(worker, process);
         self.watched_by_address.entry(address).or_default().insert(worker);
         change.address_changes.push(AddressChange::Assigned {
@@ -201,12 +201,12 @@
     }
 
     fn remove(&mut self, worker: WorkerId, change: &mut EndpointChange) {
-        self.forget(worker);
+        self.remove_process(worker);
         change.address_changes.push(AddressChange::Removed(worker));
     }
 
     /// Deletes the process of a worker and its address, if the worker was listed.
-    fn forget(&mut self, worker: WorkerId) {
+    fn remove_process(&mut self, worker: WorkerId) {
         let Some(process) = self.watched.remove(&worker) else {
             return;
         };
