--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -115,7 +115,7 @@
 
     /// Runs a callback on a connection of type `C`, like [`Reactor::with_connection`]. Returns false if the
     /// connection is closed or of another type.
-    pub fn with_connection_of<C: Connection<S>>(
+    pub fn with_connection_of_type<C: Connection<S>>(
         &mut self,
         id: ConnectionId,
         callback: impl FnOnce(&mut C, &mut BufferedStream, &mut Context<S>) -> ConnectionFlow,
