--- a/src/net/reactor/idle_connections.rs
+++ b/src/net/reactor/idle_connections.rs
@@ -15,16 +15,16 @@
     /// Closes the connection that has been idle for longest, because it is the least likely to be used
     /// again. Returns false if none is idle.
     pub fn close_longest_idle(&mut self) -> bool {
-        self.close_longest_idle_of(|_| true)
+        self.close_longest_idle_where(|_| true)
     }
 
     /// Closes the connection that has been idle for longest among those whose peer is not a client. Returns
     /// false if none is idle.
     pub fn close_longest_idle_outgoing(&mut self) -> bool {
-        self.close_longest_idle_of(|managed| !managed.is_client)
+        self.close_longest_idle_where(|managed| !managed.is_client)
     }
 
-    fn close_longest_idle_of(&mut self, may_close: impl Fn(&ManagedConnection<S>) -> bool) -> bool {
+    fn close_longest_idle_where(&mut self, may_close: impl Fn(&ManagedConnection<S>) -> bool) -> bool {
         let candidates = self.connections.iter().filter(|(_, managed)| may_close(managed));
         let idle = candidates.filter_map(|(id, managed)| Some((managed.idle_since()?, *id)));
         let mut idle: Vec<(Time, ConnectionId)> = idle.collect();
