--- a/src/frontend/jsonrpc_connection.rs
+++ b/src/frontend/jsonrpc_connection.rs
@@ -80,7 +80,7 @@
                 None => break,
             }
         }
-        if let Err(error) = self.lines.drop_long_line(&mut socket.input) {
+        if let Err(error) = self.lines.discard_overlong_line(&mut socket.input) {
             reject_line(error, socket, context);
         }
     }
--- a/src/frontend/jsonrpc_connection/line_reader.rs
+++ b/src/frontend/jsonrpc_connection/line_reader.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Returns [`RequestError::LineTooLong`] once for each such line.
-    pub(super) fn drop_long_line(&mut self, input: &mut Vec<u8>) -> Result<(), RequestError> {
+    pub(super) fn discard_overlong_line(&mut self, input: &mut Vec<u8>) -> Result<(), RequestError> {
         if input.len() <= self.limit || input.contains(&LINE_FEED) {
             return Ok(());
         }
--- a/src/frontend/jsonrpc_connection/tests.rs
+++ b/src/frontend/jsonrpc_connection/tests.rs
@@ -23,11 +23,14 @@
 fn a_long_line_is_reported_once_and_skipped_to_its_end() {
     let mut reader = LineReader::new(4);
     let mut input = b"longer".to_vec();
-    assert_eq!(reader.drop_long_line(&mut input), Err(RequestError::LineTooLong));
+    assert_eq!(
+        reader.discard_overlong_line(&mut input),
+        Err(RequestError::LineTooLong)
+    );
     assert!(input.is_empty());
     assert_eq!(reader.partial_line(&input, 6), PartialMessage::Begun);
     input.extend_from_slice(b"still more");
-    assert_eq!(reader.drop_long_line(&mut input), Ok(()));
+    assert_eq!(reader.discard_overlong_line(&mut input), Ok(()));
     input.extend_from_slice(b"end\nab\n");
     assert_eq!(reader.next_line(&mut input), Some(Ok(b"ab".to_vec())));
 }
