--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -57,12 +57,12 @@
     /// The first connection to the discovery service is due at `now`.
     pub(crate) fn new(
         watch_address: Option<SocketAddr>,
-        known: Vec<WatchEvent>,
+        known_events: Vec<WatchEvent>,
         configured: Vec<Endpoint>,
         now: Time,
     ) -> Discovery {
         let mut queue = WatchQueue::new(VecDeque::new(), 0);
-        for event in known {
+        for event in known_events {
             queue.push(event);
         }
         if watch_address.is_some() {
@@ -129,9 +129,9 @@
     ///
     /// The discovery service keeps counting across reloads. A snapshot applies after any earlier event; a
     /// delta only applies directly after the event before it.
-    pub(crate) fn merge_known_events(&mut self, known: Vec<WatchEvent>) {
+    pub(crate) fn merge_known_events(&mut self, known_events: Vec<WatchEvent>) {
         let mut queue = self.queue.borrow_mut();
-        for event in known {
+        for event in known_events {
             let is_next = queue.last_offset.checked_add(1) == Some(event.offset);
             let applies = event.kind == EndpointUpdateKind::Snapshot || is_next;
             if event.offset > queue.last_offset && applies {
--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -30,8 +30,8 @@
 
 #[test]
 fn all_known_events_are_taken_at_the_start() {
-    let known = vec![snapshot(3, vec![]), delta(7, vec![])];
-    let mut discovery = Discovery::new(None, known, Vec::new(), Time(0));
+    let known_events = vec![snapshot(3, vec![]), delta(7, vec![])];
+    let mut discovery = Discovery::new(None, known_events, Vec::new(), Time(0));
     assert_eq!(discovery.last_offset(), 7);
     assert!(discovery.next_change().is_some());
     assert!(discovery.next_change().is_some());
--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -128,7 +128,7 @@
         self.keep_startup_settings(&mut config);
         self.acceptor.apply_jsonrpc(reload.jsonrpc, &mut self.reactor);
         let now = self.reactor.now();
-        let known = std::mem::take(&mut config.known_events);
+        let known_events = std::mem::take(&mut config.known_events);
         self.config = config;
         self.reactor
             .shared
@@ -136,7 +136,7 @@
             .reconfigure(now, self.config.site.clone());
         self.apply_limits();
         self.set_configured_workers(now, &operator);
-        self.reload_discovery(now, known);
+        self.reload_discovery(now, known_events);
         kept
     }
 
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -87,10 +87,10 @@
         limits::limit_memory(&config, &mut reactor);
         let mut pool = Pool::new(limits::worker_limits(&config));
         let configured = assign_jsonrpc_worker_addresses(&operator, &config.site, &mut pool);
-        let known = std::mem::take(&mut config.known_events);
+        let known_events = std::mem::take(&mut config.known_events);
         Ok(Server {
             sources: sources.clone(),
-            discovery: Discovery::new(config.discovery_service, known, configured, reactor.now()),
+            discovery: Discovery::new(config.discovery_service, known_events, configured, reactor.now()),
             acceptor: Acceptor::new(limits::client_limits(&config), jsonrpc),
             reactor,
             pool,
