--- a/src/server/endpoints.rs
+++ b/src/server/endpoints.rs
@@ -30,10 +30,10 @@
 
     /// Reloads discovery: the watch resumes after the last received event, at the configured address.
     pub(super) fn reload_discovery(&mut self, now: Time, known_events: Vec<WatchEvent>) {
-        let moved = self.discovery.set_address(self.config.discovery_service);
+        let address_changed = self.discovery.set_address(self.config.discovery_service);
         self.poll_discovery(now);
         self.discovery.merge_known_events(known_events);
-        if moved {
+        if address_changed {
             self.discovery.restart_watch(now, &mut self.reactor);
         }
     }
