--- a/src/server/reload.rs
+++ b/src/server/reload.rs
@@ -79,8 +79,8 @@
         self.reload_retry = None;
         match self.validate_reload() {
             Ok(reload) => {
-                let kept = self.apply_reload(reload);
-                self.report_reload(&kept);
+                let kept_settings = self.apply_reload(reload);
+                self.report_reload(&kept_settings);
             }
             Err(error) => self.reject_reload(&error, earlier_attempts),
         }
@@ -124,7 +124,7 @@
             scheduler: &config,
             vrrp: operator.vrrp.as_ref(),
         };
-        let kept = self.startup_settings().differing_from(&requested);
+        let kept_settings = self.startup_settings().differing_from(&requested);
         self.keep_startup_settings(&mut config);
         self.acceptor.apply_jsonrpc(reload.jsonrpc, &mut self.reactor);
         let now = self.reactor.now();
@@ -137,7 +137,7 @@
         self.apply_limits();
         self.set_configured_workers(now, &operator);
         self.reload_discovery(now, known_events);
-        kept
+        kept_settings
     }
 
     fn apply_limits(&mut self) {
@@ -163,8 +163,8 @@
         config.site.kinds.clone_from(&self.config.site.kinds);
     }
 
-    fn report_reload(&self, kept: &[StartupSetting]) {
-        for setting in kept {
+    fn report_reload(&self, kept_settings: &[StartupSetting]) {
+        for setting in kept_settings {
             warn!(setting = setting.name(), "setting kept until restart");
         }
         info!(offset = self.discovery.last_offset(), "reloaded");
