--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -20,17 +20,17 @@
 
     fn try_from(document: SettingsDocument) -> Result<Site, ConfigProblem> {
         let settings = Settings::try_from(&document)?;
-        let limits = document.permissions;
+        let permissions = document.permissions;
         let class_names = document.classes.into_iter().map(|class| Some(class.name));
         Ok(Site {
             settings,
             class_names: class_names.collect(),
             zones: document.zones,
             kinds: document.kinds,
-            attempts_per_connection: limits.attempts_per_connection.max(1),
-            max_open_requests: limits.max_open_requests,
-            idle_timeout: Span(limits.idle_timeout_ns),
-            connect_timeout: Span(limits.connect_timeout_ns),
+            attempts_per_connection: permissions.attempts_per_connection.max(1),
+            max_open_requests: permissions.max_open_requests,
+            idle_timeout: Span(permissions.idle_timeout_ns),
+            connect_timeout: Span(permissions.connect_timeout_ns),
             load_timeout: Span(document.loading.load_timeout_ns),
             load_metric_names: document.load_report.metric_names,
         })
