--- a/src/frontend/frame_connection/admission.rs
+++ b/src/frontend/frame_connection/admission.rs
@@ -32,8 +32,8 @@
     /// Records that the client has sent a complete frame.
     pub(super) fn record_frame(&mut self) {
         match self {
-            Admission::Serving(progress) | Admission::Shedding(progress) => {
-                *progress = FirstFrameState::FrameReceived;
+            Admission::Serving(first_frame) | Admission::Shedding(first_frame) => {
+                *first_frame = FirstFrameState::FrameReceived;
             }
             Admission::Shed => {}
         }
@@ -42,8 +42,8 @@
     /// Returns whether the client has sent a complete frame.
     pub(super) fn has_received_frame(self) -> bool {
         match self {
-            Admission::Serving(progress) | Admission::Shedding(progress) => {
-                progress == FirstFrameState::FrameReceived
+            Admission::Serving(first_frame) | Admission::Shedding(first_frame) => {
+                first_frame == FirstFrameState::FrameReceived
             }
             Admission::Shed => true,
         }
