--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -50,7 +50,7 @@
         self.clients += usize::from(managed.is_client);
         self.connections.insert(id, managed);
         // The call also registers the stream when there is no callback to run yet.
-        self.call(id, |managed, context| {
+        self.run_callback(id, |managed, context| {
             if connected {
                 managed.connection.opened(&mut managed.stream, context)
             } else {
@@ -63,7 +63,7 @@
     /// Reads the available input of a connection, which may have been waiting since the given time.
     pub fn read_pending_input(&mut self, id: ConnectionId, since: Time) {
         self.set_earliest_input_at(id, Some(since));
-        self.call(id, |managed, context| managed.handle_event(true, context));
+        self.run_callback(id, |managed, context| managed.handle_event(true, context));
         self.set_earliest_input_at(id, None);
     }
 
@@ -107,7 +107,7 @@
         callback: impl FnOnce(&mut dyn Connection<S>, &mut BufferedStream, &mut Context<S>) -> ConnectionFlow,
     ) -> bool {
         let found = self.has_connection(id);
-        self.call(id, |managed, context| {
+        self.run_callback(id, |managed, context| {
             callback(managed.connection.as_mut(), &mut managed.stream, context)
         });
         found
@@ -174,7 +174,7 @@
 
     /// Runs a callback on a connection, then closes the connection or updates its timer as the callback
     /// requires.
-    pub(super) fn call(
+    pub(super) fn run_callback(
         &mut self,
         id: ConnectionId,
         callback: impl FnOnce(&mut ManagedConnection<S>, &mut Context<S>) -> ConnectionFlow,
@@ -191,7 +191,7 @@
             context.earliest_input_at = context.earliest_input_at.min(since);
         }
         let unsent_before = managed.stream.unsent_bytes();
-        let mut flow = managed.call(&mut context, callback);
+        let mut flow = managed.run_callback(&mut context, callback);
         let unsent_bytes = managed.stream.unsent_bytes();
         self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
         // Bounds the memory that peers that do not read their input can use.
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -89,7 +89,7 @@
 
     /// Runs a callback and writes the output that it adds. A panic closes only this connection, after
     /// sending the responses that its client is owed.
-    pub(super) fn call(
+    pub(super) fn run_callback(
         &mut self,
         context: &mut Context<S>,
         callback: impl FnOnce(&mut ManagedConnection<S>, &mut Context<S>) -> ConnectionFlow,
--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -112,7 +112,7 @@
                 Some(ReactorEvent::PipeReadable(pipe))
             }
             EventSource::Connection(id) => {
-                self.call(id, |connection, context| {
+                self.run_callback(id, |connection, context| {
                     connection.handle_event(ready.readable, context)
                 });
                 None
@@ -127,7 +127,7 @@
             if let Some(managed) = self.connections.get_mut(&id) {
                 managed.timer = None;
             }
-            self.call(id, ManagedConnection::handle_timer);
+            self.run_callback(id, ManagedConnection::handle_timer);
         }
     }
 }
