--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 
 #[test]
-fn known_events_are_taken_if_complete_or_next() {
+fn known_events_are_accepted_if_complete_or_next() {
     let mut watch = Watch::new(None);
     let next_change = |watch: &mut Watch| watch.discovery.next_change().is_some();
     watch.discovery.merge_known_events(vec![delta(2, vec![])]);
