--- a/src/discovery/tests/watch/events.rs
+++ b/src/discovery/tests/watch/events.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn all_known_events_are_taken_at_the_start() {
+fn all_known_events_are_accepted_at_startup() {
     let known_events = vec![snapshot(3, vec![]), delta(7, vec![])];
     let mut discovery = Discovery::new(None, known_events, Vec::new(), Time(0));
     assert_eq!(discovery.last_offset(), 7);
