--- a/src/backend/tests/node_agent_codec.rs
+++ b/src/backend/tests/node_agent_codec.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn unusual_but_tolerated_responses_are_decoded() {
+fn unusual_responses_are_decoded_unless_a_field_is_duplicated() {
     assert_decoded(
         &NodeAgentCodec,
         vec![
