--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -81,7 +81,7 @@
 
     /// Starts the process on this address with so few descriptors; returns at once.
     pub(crate) fn start_with_descriptor_limit(self, listen: SocketAddr, limit: usize) -> SchedulerProcess {
-        let command = program::program_with_descriptors(&self.folder, limit);
+        let command = program::program_with_descriptor_limit(&self.folder, limit);
         self.start_at(listen, command)
     }
 
--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -24,7 +24,7 @@
 }
 
 /// [`program`] with so few descriptors, the standard streams among them.
-pub(super) fn program_with_descriptors(folder: &TempFolder, limit: usize) -> Command {
+pub(super) fn program_with_descriptor_limit(folder: &TempFolder, limit: usize) -> Command {
     let mut command = Command::new("sh");
     command.args(["-c", WITH_STANDARD_STREAMS_ONLY, "prlimit"]);
     command.arg(format!("--nofile={limit}:")).arg(PROGRAM);
