--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -9,7 +9,7 @@
 const OPERATOR_FILE: &str = "operator.toml";
 const PROGRAM: &str = env!("CARGO_BIN_EXE_function-scheduler");
 /// Closes what a runner of the tests has left open beside the standard streams, then runs the command.
-const WITH_STANDARD_STREAMS_ONLY: &str = "exec 3<&- 4<&- 5<&- 6<&- 7<&- 8<&- 9<&-; exec \"$0\" \"$@\"";
+const CLOSE_EXTRA_DESCRIPTORS_SCRIPT: &str = "exec 3<&- 4<&- 5<&- 6<&- 7<&- 8<&- 9<&-; exec \"$0\" \"$@\"";
 
 /// The program with the configuration of this folder. Its standard error goes nowhere.
 pub(super) fn program(folder: &TempFolder) -> Command {
@@ -26,7 +26,7 @@
 /// [`program`] with so few descriptors, the standard streams among them.
 pub(super) fn program_with_descriptor_limit(folder: &TempFolder, limit: usize) -> Command {
     let mut command = Command::new("sh");
-    command.args(["-c", WITH_STANDARD_STREAMS_ONLY, "prlimit"]);
+    command.args(["-c", CLOSE_EXTRA_DESCRIPTORS_SCRIPT, "prlimit"]);
     command.arg(format!("--nofile={limit}:")).arg(PROGRAM);
     configured(command, folder)
 }
