--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Time without input after which a connection is quiet.
-const QUIET_TIME: Duration = Duration::from_millis(500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A node agent whose connections the test reads byte by byte, so that it can leave bytes unread.
 pub(crate) struct RawWorker {
@@ -107,7 +107,7 @@
 
     /// Reads until the connection ends or nothing has come for a while; how many requests were complete.
     pub(crate) fn count_complete_requests(&mut self) -> u64 {
-        self.stream.set_read_timeout(Some(QUIET_TIME)).unwrap();
+        self.stream.set_read_timeout(Some(IDLE_TIMEOUT)).unwrap();
         let mut input = vec![];
         let mut chunk = [0; 1 << 16];
         while let Ok(count @ 1..) = self.stream.read(&mut chunk) {
