--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -82,19 +82,19 @@
 
     /// Whether clients can connect before the limit on waits has passed or the program ends.
     pub(crate) fn becomes_reachable(&mut self) -> bool {
-        self.comes_to(|address, _| TcpStream::connect(address).is_ok())
+        self.wait_for_condition(|address, _| TcpStream::connect(address).is_ok())
     }
 
     /// Whether the program responds to clients before the limit on waits has passed or it ends. A connection alone does
     /// not show that: a child that a test in another thread starts holds this process's listeners until it runs its
     /// own program, and until then the system completes connections to an address whose listener has been dropped.
     pub(crate) fn becomes_responsive(&mut self) -> bool {
-        self.comes_to(frame_client::responds)
+        self.wait_for_condition(frame_client::responds)
     }
 
     /// Whether the condition on the address, which may take the given time, holds before the limit on waits has passed
     /// or the program ends.
-    fn comes_to(&mut self, condition: impl Fn(SocketAddr, Duration) -> bool) -> bool {
+    fn wait_for_condition(&mut self, condition: impl Fn(SocketAddr, Duration) -> bool) -> bool {
         let start = Instant::now();
         while start.elapsed() < WAIT_LIMIT && !self.has_ended() {
             if condition(self.address, WAIT_LIMIT - start.elapsed()) {
