--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -155,12 +155,12 @@
 }
 
 /// Whether a scheduler at this address responds to a readiness request, be it ready or not.
-pub(super) fn responds(address: SocketAddr, patience: Duration) -> bool {
+pub(super) fn responds(address: SocketAddr, timeout: Duration) -> bool {
     let readiness_request = frame(frame_type::READINESS_REQUEST, READINESS_STREAM, &[0]);
     let mut response = [0];
     let mut exchange = || -> io::Result<()> {
         let mut stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(patience))?;
+        stream.set_read_timeout(Some(timeout))?;
         stream.write_all(&readiness_request)?;
         stream.read_exact(&mut response)
     };
