--- a/tests/support/policy_harness.rs
+++ b/tests/support/policy_harness.rs
@@ -57,13 +57,13 @@
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
             if let Action::Send { id, worker, .. } = action {
-                self.note_sent(*id, *worker);
+                self.record_sent(*id, *worker);
             }
         }
         actions
     }
 
-    fn note_sent(&mut self, request: RequestId, worker: WorkerId) {
+    fn record_sent(&mut self, request: RequestId, worker: WorkerId) {
         let next = self.next_attempt.entry(request).or_default();
         self.sent.push(SentAttempt {
             request,
