--- a/tests/support/process_log.rs
+++ b/tests/support/process_log.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// What a line with the counters starts with, after its time.
-const COUNTERS: &str = "function-scheduler: counters";
+const COUNTERS_MARKER: &str = "function-scheduler: counters";
 /// Time between two looks at the log.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -70,7 +70,7 @@
     pub(super) fn next_counters(&self, trigger: impl FnOnce()) -> String {
         let earlier = counter_lines(&self.text()).count();
         trigger();
-        self.wait_until(COUNTERS, |text| {
+        self.wait_until(COUNTERS_MARKER, |text| {
             counter_lines(text).skip(earlier).last().map(str::to_owned)
         })
     }
@@ -78,7 +78,7 @@
 
 /// The lines with counters in a log, in order.
 fn counter_lines(log: &str) -> impl Iterator<Item = &str> {
-    log.lines().filter(|line| line.contains(COUNTERS))
+    log.lines().filter(|line| line.contains(COUNTERS_MARKER))
 }
 
 /// The results of all reloads in a log, in order.
