--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -45,9 +45,9 @@
 /// Replaces a file at once. A scheduler whose reload was refused reads its files again and again for a while, and must
 /// not find one that has been emptied to be written.
 fn replace_file(folder: &TempFolder, name: &str, text: &str) {
-    let written = folder.file(format!("{name}.new"));
-    std::fs::write(&written, text).unwrap();
-    std::fs::rename(written, folder.file(name)).unwrap();
+    let temporary_path = folder.file(format!("{name}.new"));
+    std::fs::write(&temporary_path, text).unwrap();
+    std::fs::rename(temporary_path, folder.file(name)).unwrap();
 }
 
 /// Makes a named pipe of the configuration file: it can only be read while somebody writes it.
