--- a/tests/support/program.rs
+++ b/tests/support/program.rs
@@ -52,8 +52,8 @@
 
 /// Makes a named pipe of the configuration file: it can only be read while somebody writes it.
 pub(super) fn make_config_pipe(folder: &TempFolder) {
-    let made = Command::new("mkfifo").arg(folder.file(CONFIG_FILE)).status();
-    assert!(made.unwrap().success());
+    let status = Command::new("mkfifo").arg(folder.file(CONFIG_FILE)).status();
+    assert!(status.unwrap().success());
 }
 
 /// Writes the configuration file in another thread, which may have to wait for a reader.
