--- a/tests/documentation/source.rs
+++ b/tests/documentation/source.rs
@@ -79,13 +79,16 @@
     /// The event of a call with these arguments; none if it has no message, or one that is neither a fixed text nor a
     /// single value.
     fn of_call(arguments: &[String]) -> Option<LoggedEvent> {
-        let place = arguments.iter().position(|argument| argument.starts_with('"'))?;
-        let message = arguments[place].trim_matches('"');
+        let position = arguments.iter().position(|argument| argument.starts_with('"'))?;
+        let message = arguments[position].trim_matches('"');
         let is_value = message.starts_with('{') && message.find('}') == Some(message.len() - 1);
         let is_fixed = !message.contains(['{', '=']);
         (is_value || is_fixed).then(|| LoggedEvent {
             name: message.to_owned(),
-            fields: arguments[..place].iter().map(|field| field_name(field)).collect(),
+            fields: arguments[..position]
+                .iter()
+                .map(|field| field_name(field))
+                .collect(),
         })
     }
 }
@@ -102,12 +105,12 @@
     let mut events: BTreeMap<String, Fields> = BTreeMap::new();
     for file in source_files(&root().join("src")) {
         let text = without_comments(&read(&file));
-        for (place, _) in text.match_indices(&call) {
-            let is_other_macro = text[..place].ends_with(|c: char| c.is_alphanumeric() || c == '_');
+        for (position, _) in text.match_indices(&call) {
+            let is_other_macro = text[..position].ends_with(|c: char| c.is_alphanumeric() || c == '_');
             if is_other_macro {
                 continue;
             }
-            let arguments = arguments(&text[place + call.len()..]);
+            let arguments = arguments(&text[position + call.len()..]);
             let event = LoggedEvent::of_call(&arguments);
             let event =
                 event.unwrap_or_else(|| panic!("{}: {arguments:?} has no fixed message", file.display()));
