--- a/tests/documentation/source.rs
+++ b/tests/documentation/source.rs
@@ -78,7 +78,7 @@
 impl LoggedEvent {
     /// The event of a call with these arguments; none if it has no message, or one that is neither a fixed text nor a
     /// single value.
-    fn of_call(arguments: &[String]) -> Option<LoggedEvent> {
+    fn from_arguments(arguments: &[String]) -> Option<LoggedEvent> {
         let position = arguments.iter().position(|argument| argument.starts_with('"'))?;
         let message = arguments[position].trim_matches('"');
         let is_value = message.starts_with('{') && message.find('}') == Some(message.len() - 1);
@@ -111,7 +111,7 @@
                 continue;
             }
             let arguments = arguments(&text[position + call.len()..]);
-            let event = LoggedEvent::of_call(&arguments);
+            let event = LoggedEvent::from_arguments(&arguments);
             let event =
                 event.unwrap_or_else(|| panic!("{}: {arguments:?} has no fixed message", file.display()));
             events.entry(event.name).or_default().extend(event.fields);
