--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -11,7 +11,7 @@
 /// The policy's folder, relative to the root.
 const POLICY_FOLDER: &str = "src/policy";
 /// Where the policy's interface is; named at the head of its main module.
-const INTERFACE: &str = "src/model/mod.rs";
+const INTERFACE_FILE: &str = "src/model/mod.rs";
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -86,7 +86,7 @@
 fn the_head_of_the_policy_names_its_interface() {
     let text = read("src/policy/mod.rs");
     assert!(
-        text.lines().take(3).any(|line| line.contains(INTERFACE)),
-        "{INTERFACE} is not named"
+        text.lines().take(3).any(|line| line.contains(INTERFACE_FILE)),
+        "{INTERFACE_FILE} is not named"
     );
 }
