--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_head_of_the_policy_names_its_interface() {
+fn the_policy_module_documentation_names_the_interface_file() {
     let text = read("src/policy/mod.rs");
     assert!(
         text.lines().take(3).any(|line| line.contains(INTERFACE_FILE)),
