--- a/tests/documentation/main.rs
+++ b/tests/documentation/main.rs
@@ -1,4 +1,5 @@
-//! The pages against the code: what they name exists, and what an engineer on call can meet is on the operations page.
+//! Compares the documentation pages with the code: the names in the pages exist in the code, and the
+//! operations page lists everything that an engineer on call may encounter.
 
 mod names;
 mod operations;
