--- a/tests/documentation/names.rs
+++ b/tests/documentation/names.rs
@@ -1,10 +1,11 @@
-//! Paths, modules, functions, types, constants and kinds of faults that the pages name are there.
+//! Checks that the paths, modules, functions, types, constants and kinds of faults that the pages name exist.
 
 use crate::page::OPERATIONS_PAGE;
 use crate::source::{read, root, source_files, without_comments};
 use std::collections::BTreeSet;
 
-/// Pages that describe the code as it is. Pages on incidents and open points tell of the code as it was.
+/// Pages that describe the current code. Pages on incidents and open points describe earlier states of the
+/// code.
 const PAGES: [&str; 5] = [
     "README.md",
     "CONTRIBUTING.md",
@@ -12,17 +13,18 @@
     "docs/configuration.md",
     OPERATIONS_PAGE,
 ];
-/// Pages that say which function, type or constant does what.
+/// Pages that describe functions, types and constants of the code by name.
 const PAGES_WITH_CODE_NAMES: [&str; 4] = [
     "CONTRIBUTING.md",
     "docs/architecture.md",
     "docs/promises.md",
     OPERATIONS_PAGE,
 ];
-/// The first folders of the paths that pages name.
+/// Prefixes of the paths that pages name.
 const FOLDERS: [&str; 5] = ["src/", "tests/", "crates/", "docs/", "deploy/"];
 
-/// Whether a quoted word of a page is a name in the code: a path, a type, a constant, or a name of several words.
+/// Returns whether a quoted word of a page is a name in the code: a path, a type, a constant, or a name of
+/// several words.
 fn is_code_name(word: &str) -> bool {
     let is_name = |part: &str| {
         part.starts_with(|c: char| c.is_ascii_alphabetic())
@@ -42,12 +44,15 @@
         let is_path =
             |quote: &&str| FOLDERS.iter().any(|folder| quote.starts_with(folder)) && !quote.contains(' ');
         for path in quotes.filter(is_path) {
-            assert!(root().join(path).exists(), "{page} names {path}");
+            assert!(
+                root().join(path).exists(),
+                "{page} names {path}, which does not exist"
+            );
         }
     }
 }
 
-/// Functions, types and constants that these pages name are those of the code.
+/// Guards against pages that name functions, types or constants which the code does not have.
 #[test]
 fn the_names_of_the_code_in_the_pages_exist() {
     let mut files = source_files(&root().join("src"));
@@ -67,11 +72,15 @@
             .filter(|word| is_code_name(word));
         let parts = names.flat_map(|name| name.split("::"));
         let missing: BTreeSet<&str> = parts.filter(|part| !known.contains(part)).collect();
-        assert!(missing.is_empty(), "{page} names {missing:?}");
+        assert!(
+            missing.is_empty(),
+            "{page} names {missing:?}, which the code does not contain"
+        );
     }
 }
 
-/// A kind of fault on a command line, such as `--kinds kill,pause`, is one of the soak.
+/// Guards against command lines such as `--kinds kill,pause` with a kind of fault that the soak does not
+/// have.
 #[test]
 fn the_kinds_of_faults_in_the_pages_exist() {
     let text = without_comments(&read("crates/fault-soak/src/faults/kind.rs"));
@@ -84,19 +93,27 @@
     for page in PAGES {
         let text = read(page);
         for rest in text.split("--kinds ").skip(1) {
-            let list = rest.split([' ', '\n', '`']).next().expect("there is one");
+            let list = rest
+                .split([' ', '\n', '`'])
+                .next()
+                .expect("split returns at least one part");
             for kind in list.split(',') {
-                assert!(kinds.contains(kind), "{page} names {kind}, of {kinds:?}");
+                assert!(
+                    kinds.contains(kind),
+                    "{page} names the kind {kind}, which is not among {kinds:?}"
+                );
                 count += 1;
             }
         }
     }
-    assert!(count > 0, "no page names a kind");
+    assert!(count > 0, "no page names a kind of fault");
 }
 
 fn section_between<'a>(text: &'a str, begin: &str, end: &str) -> &'a str {
-    let (_, rest) = text.split_once(begin).expect("it begins");
-    rest.split_once(end).expect("it ends").0
+    let (_, rest) = text
+        .split_once(begin)
+        .expect("the text contains the start marker");
+    rest.split_once(end).expect("the text contains the end marker").0
 }
 
 fn kebab_case(name: &str) -> String {
@@ -110,8 +127,8 @@
     words
 }
 
-/// A module's path in a page, such as `scheduler::timers`, is that of a file or folder in `src`, in the text and in the
-/// drawings.
+/// Checks that each module path in the text and the diagrams, such as `scheduler::timers`, is a file or
+/// folder in `src`.
 #[test]
 fn the_modules_on_the_architecture_page_exist() {
     let text = read("docs/architecture.md");
@@ -125,7 +142,7 @@
         let path = root().join("src").join(module.replace("::", "/"));
         assert!(
             path.is_dir() || path.with_extension("rs").is_file(),
-            "no module {module}"
+            "the page names the module {module}, which does not exist"
         );
     }
 }
@@ -141,6 +158,9 @@
     assert!(!modules.is_empty());
     for module in modules {
         let rows = [format!("`src/{module}`"), format!("`src/{module}.rs`")];
-        assert!(rows.iter().any(|row| text.contains(row)), "no row for {module}");
+        assert!(
+            rows.iter().any(|row| text.contains(row)),
+            "the README has no row for the module {module}"
+        );
     }
 }
