--- a/tests/documentation/operations.rs
+++ b/tests/documentation/operations.rs
@@ -1,14 +1,15 @@
-//! The operations page lists what the code has: counters, log events, kinds of violation, signals and limits.
+//! Compares the lists on the operations page with the code: counters, log events, kinds of violation, signals
+//! and limits.
 
 use crate::page::{OPERATIONS_PAGE, all_quoted, listed, quoted, rows, section};
 use crate::source::{Fields, events, read, root, source_files, without_comments};
 use crate::support::scheduler_process::SchedulerProcess;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Levels of the events of which the page has a row each.
+/// Levels whose events each have a row on the page.
 const LISTED_LEVELS: [&str; 3] = ["error", "warn", "info"];
 const DEBUG_LEVEL: &str = "debug";
-/// What an engineer sees of the event whose text is the counters themselves.
+/// The text that identifies the log line whose message consists of the counters.
 const COUNTERS_EVENT: &str = "counters";
 
 #[test]
@@ -32,11 +33,11 @@
     let mut on_page: BTreeMap<&str, BTreeMap<String, Fields>> = BTreeMap::new();
     for cells in rows(section(&page, "### Events")) {
         let [event, level, fields, ..] = cells[..] else {
-            panic!("{cells:?} lacks a cell");
+            panic!("the row {cells:?} has too few cells");
         };
         let events = on_page.entry(level).or_default();
         let earlier = events.insert(quoted(event).to_owned(), all_quoted(fields));
-        assert!(earlier.is_none(), "{event} stands twice");
+        assert!(earlier.is_none(), "{event} is listed twice");
     }
     let in_code = LISTED_LEVELS.map(|level| (level, events(level)));
     assert_eq!(on_page, BTreeMap::from(in_code));
@@ -50,7 +51,7 @@
         .iter()
         .map(|cells| (quoted(cells[0]).to_owned(), all_quoted(cells[1])))
         .collect();
-    assert_eq!(on_page.len(), rows.len(), "an event stands twice");
+    assert_eq!(on_page.len(), rows.len(), "an event is listed twice");
     assert_eq!(on_page, events(DEBUG_LEVEL));
 }
 
@@ -65,7 +66,8 @@
     assert_eq!(listed("### Kinds of violation"), kinds);
 }
 
-/// Only then are the events in the code those that the tests above find.
+/// Guards against log output that the tests above miss: they read only the calls of `error!`, `warn!`,
+/// `info!` and `debug!`.
 #[test]
 fn no_source_file_logs_through_other_macros() {
     for file in source_files(&root().join("src")) {
@@ -86,7 +88,7 @@
     assert_eq!(listed("## Signals"), handled);
 }
 
-/// Each limit is named by its constant, beside the file that has it and with the value that it has there.
+/// Checks that each row names a constant, the file that defines it, and its value in this file.
 #[test]
 fn the_limits_on_the_operations_page_are_constants_of_the_code() {
     let page = read(OPERATIONS_PAGE);
