--- a/tests/documentation/page.rs
+++ b/tests/documentation/page.rs
@@ -1,11 +1,11 @@
-//! Reads the operations page: its sections, and the tables in them.
+//! Reads the sections and tables of the operations page.
 
 use crate::source::read;
 use std::collections::BTreeSet;
 
 pub(crate) const OPERATIONS_PAGE: &str = "docs/operations.md";
 
-/// The part of a page under a heading, up to the next one of the same or a higher rank.
+/// Returns the part of a page under a heading, up to the next heading of the same or a higher level.
 pub(crate) fn section<'a>(page: &'a str, heading: &str) -> &'a str {
     let begin = page.find(&format!("\n{heading}\n"));
     let begin = begin.unwrap_or_else(|| panic!("the page has no '{heading}'")) + 1 + heading.len();
@@ -15,7 +15,7 @@
     &rest[..ends.min().unwrap_or(rest.len())]
 }
 
-/// The rows of the tables in a part of a page, without their heads: the cells of each.
+/// Returns the cells of each row of the tables in a section, without the header rows.
 pub(crate) fn rows(section: &str) -> Vec<Vec<&str>> {
     let lines = section.lines().filter(|line| line.starts_with("| `"));
     lines
@@ -23,17 +23,19 @@
         .collect()
 }
 
-/// The text between the first pair of backticks.
+/// Returns the text between the first pair of backticks.
 pub(crate) fn quoted(cell: &str) -> &str {
-    cell.split('`').nth(1).expect("a name between backticks")
+    cell.split('`')
+        .nth(1)
+        .expect("the cell contains a name in backticks")
 }
 
-/// The texts between backticks.
+/// Returns all texts between pairs of backticks.
 pub(crate) fn all_quoted(cell: &str) -> BTreeSet<String> {
     cell.split('`').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// The names in the first column of a section's tables, each of which stands there once.
+/// Returns the names in the first column of a section's tables; panics if a name is listed twice.
 pub(crate) fn listed(heading: &str) -> BTreeSet<String> {
     let page = read(OPERATIONS_PAGE);
     let rows = rows(section(&page, heading));
@@ -42,7 +44,7 @@
     assert_eq!(
         unique.len(),
         names.len(),
-        "a name stands twice under '{heading}': {names:?}"
+        "a name is listed twice under '{heading}': {names:?}"
     );
     unique
 }
