--- a/tests/documentation/source.rs
+++ b/tests/documentation/source.rs
@@ -1,4 +1,4 @@
-//! Reads the code: its files, and the calls of `tracing`'s macros in them.
+//! Reads the source files and the calls of the `tracing` macros in them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -13,12 +13,17 @@
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The sources of the library and of the scheduler, without their tests. The adapter to the simulator has no log.
+/// Returns the source files in a folder and its subfolders, without tests and without the folder `bin`.
+///
+/// `bin` contains the adapter to the simulator, which does not log.
 pub(crate) fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).expect("the folder is readable") {
-        let path = entry.expect("a folder entry").path();
-        let name = path.file_name().and_then(|name| name.to_str()).expect("a name");
+        let path = entry.expect("the folder entry is readable").path();
+        let name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .expect("the file name is UTF-8");
         if path.is_dir() && !["tests", "bin"].contains(&name) {
             files.extend(source_files(&path));
         } else if name.ends_with(".rs") && name != "tests.rs" {
@@ -28,14 +33,15 @@
     files
 }
 
-/// A source text whose comments are blank, so that only code is found in it.
+/// Returns a source text without its comment lines, so that a search finds only code.
 pub(crate) fn without_comments(text: &str) -> String {
     let is_code = |line: &&str| !line.trim_start().starts_with("//");
     text.lines().filter(is_code).collect::<Vec<_>>().join("\n")
 }
 
-/// The arguments of a macro call, split at the commas that are in no bracket and no string. `text` begins behind the
-/// call's opening parenthesis.
+/// Returns the arguments of a macro call, split at the commas outside of brackets and strings.
+///
+/// `text` begins after the opening parenthesis of the call.
 fn arguments(text: &str) -> Vec<String> {
     let mut arguments = vec![String::new()];
     let mut depth = 0;
@@ -58,7 +64,10 @@
             is_in_string = !is_in_string;
         }
         is_escaped = is_in_string && character == '\\' && !is_escaped;
-        arguments.last_mut().expect("there is one").push(character);
+        arguments
+            .last_mut()
+            .expect("the list is never empty")
+            .push(character);
     }
     arguments
         .iter()
@@ -66,18 +75,18 @@
         .collect()
 }
 
-/// The names of an event's fields, over all calls that log it.
+/// The names of an event's fields, collected from all calls that log the event.
 pub(crate) type Fields = BTreeSet<String>;
 
-/// An event as a call logs it.
+/// An event that a macro call logs.
 struct LoggedEvent {
     name: String,
     fields: Fields,
 }
 
 impl LoggedEvent {
-    /// The event of a call with these arguments; none if it has no message, or one that is neither a fixed text nor a
-    /// single value.
+    /// Returns the event of a call with these arguments, or `None` if its message is missing or is neither a
+    /// fixed text nor a single value.
     fn from_arguments(arguments: &[String]) -> Option<LoggedEvent> {
         let position = arguments.iter().position(|argument| argument.starts_with('"'))?;
         let message = arguments[position].trim_matches('"');
@@ -93,13 +102,13 @@
     }
 }
 
-/// The name of a field that is given as `name = value`, or as a variable of that name.
+/// Returns the name of a field that is given as `name = value` or as a variable with that name.
 fn field_name(field: &str) -> String {
     let name = field.split('=').next().unwrap_or(field);
     name.trim().trim_start_matches(['?', '%']).to_owned()
 }
 
-/// The events of one level in the code, by their names.
+/// Returns the events of one level in the code, keyed by name.
 pub(crate) fn events(level: &str) -> BTreeMap<String, Fields> {
     let call = format!("{level}!(");
     let mut events: BTreeMap<String, Fields> = BTreeMap::new();
