--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,30 +1,34 @@
-//! Limits on the modules of the policy: the files that the deploy file names under `policy`.
+//! Checks limits on the modules of the policy, which are the files that the deploy file lists under `policy`.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Most non-blank lines in one file of the policy: a module has one job.
+/// The maximum number of non-blank lines in a file of the policy, because a module has one responsibility.
 const MAX_FILE_LINES: usize = 260;
-/// Most columns in one line.
+/// The maximum number of columns in a line.
 const MAX_COLUMNS: usize = 110;
-/// The policy's folder, relative to the root.
+/// The folder of the policy, relative to the root of the repository.
 const POLICY_FOLDER: &str = "src/policy";
-/// Where the policy's interface is; named at the head of its main module.
+/// The file with the policy's interface, which the documentation of the policy's main module names.
 const INTERFACE_FILE: &str = "src/model/mod.rs";
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Files that the deploy file names under `policy`, as written there.
+/// Returns the files that the deploy file lists under `policy`, as written there.
 fn named_files() -> Vec<String> {
     let text = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file is readable");
     let deploy: toml::Table = text.parse().expect("the deploy file is TOML");
     let files = deploy["policy"].as_array().expect("`policy` is a list");
     files
         .iter()
-        .map(|file| file.as_str().expect("a path").to_owned())
+        .map(|file| {
+            file.as_str()
+                .expect("each entry of `policy` is a path")
+                .to_owned()
+        })
         .collect()
 }
 
@@ -32,13 +36,13 @@
     fs::read_to_string(root().join(file)).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
 
-/// All Rust files in a folder and below, relative to the root.
+/// Returns all Rust files in a folder and its subfolders, relative to the root of the repository.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = vec![];
     for entry in fs::read_dir(root().join(folder)).expect("the folder is readable") {
-        let entry = entry.expect("a folder entry");
+        let entry = entry.expect("the folder entry is readable");
         let path = folder.join(entry.file_name());
-        if entry.file_type().expect("a file type").is_dir() {
+        if entry.file_type().expect("the file type is readable").is_dir() {
             files.extend(rust_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             files.push(path);
@@ -47,11 +51,13 @@
     files
 }
 
-/// The operators have lifted the limit on all lines together (2026-12-02); decisions stay in modules of one job each.
+/// Guards against modules with more than one responsibility and modules without documentation.
+///
+/// The operators have lifted the limit on the total number of lines, so there is only a limit for each file.
 #[test]
 fn each_policy_file_is_a_documented_module_of_bounded_size() {
     let files = named_files();
-    assert!(!files.is_empty(), "the deploy file names no policy");
+    assert!(!files.is_empty(), "the deploy file lists no file of the policy");
     for file in files {
         let text = read(&file);
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
@@ -59,7 +65,10 @@
             (1..=MAX_FILE_LINES).contains(&lines),
             "{file}: {lines} non-blank lines"
         );
-        assert!(text.starts_with("//! "), "{file}: its head says what it decides");
+        assert!(
+            text.starts_with("//! "),
+            "{file}: the module documentation is missing"
+        );
     }
 }
 
@@ -77,7 +86,11 @@
 fn the_deploy_file_names_each_file_of_the_policy_once_and_no_other() {
     let named = named_files();
     let named_paths: BTreeSet<PathBuf> = named.iter().map(PathBuf::from).collect();
-    assert_eq!(named_paths.len(), named.len(), "a file is named twice: {named:?}");
+    assert_eq!(
+        named_paths.len(),
+        named.len(),
+        "a file is listed twice: {named:?}"
+    );
     let found: BTreeSet<PathBuf> = rust_files(Path::new(POLICY_FOLDER)).into_iter().collect();
     assert_eq!(named_paths, found);
 }
@@ -87,6 +100,6 @@
     let text = read("src/policy/mod.rs");
     assert!(
         text.lines().take(3).any(|line| line.contains(INTERFACE_FILE)),
-        "{INTERFACE_FILE} is not named"
+        "the documentation of the policy does not name {INTERFACE_FILE}"
     );
 }
