--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a scheduler process under test.
+//! Builds the configuration of a scheduler process under test.
 
 use super::program;
 use super::scheduler_process::SchedulerProcess;
@@ -19,7 +19,8 @@
 }
 
 impl Configuration {
-    /// A configuration with the default settings, whose endpoint list holds these node agents, with ids from 1 on.
+    /// Creates a configuration with the default settings, whose endpoint list contains these node agents with
+    /// ids counted from 1.
     pub(crate) fn new(workers: &[SocketAddr]) -> Configuration {
         Configuration {
             folder: TempFolder::new(),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Replaces the settings, which are the default ones otherwise.
+    /// Replaces the default settings.
     pub(crate) fn settings(self, settings: Value) -> Configuration {
         Configuration { settings, ..self }
     }
@@ -41,7 +42,7 @@
         Configuration { limits, ..self }
     }
 
-    /// The address of the discovery service; without one the endpoint list stays as it is.
+    /// Sets the address of the discovery service. Without one, the endpoint list stays as configured.
     pub(crate) fn discovery(self, address: SocketAddr) -> Configuration {
         Configuration {
             discovery: Some(address),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The text of the operator's file, which may name paths in the process's folder.
+    /// Adds an operator's file with this text, which may name paths in the folder of the process.
     pub(crate) fn operator_file(self, text: impl FnOnce(&TempFolder) -> String) -> Configuration {
         let operator_file = Some(text(&self.folder));
         Configuration {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Starts the process; returns once it listens.
+    /// Starts the process and waits until it listens.
     pub(crate) fn start(self) -> SchedulerProcess {
         let config = self.json();
         program::write_config(&self.folder, &config.to_string());
@@ -72,14 +73,15 @@
         SchedulerProcess::spawn_logged(command, self.folder, config)
     }
 
-    /// Starts the process on this address, with this standard error; returns at once.
+    /// Starts the process on this address with this standard error, without waiting until it listens.
     pub(crate) fn start_with_stderr(self, listen: SocketAddr, stderr: Stdio) -> SchedulerProcess {
         let mut command = program::program(&self.folder);
         command.stderr(stderr);
         self.start_at(listen, command)
     }
 
-    /// Starts the process on this address with so few descriptors; returns at once.
+    /// Starts the process on this address with this limit on its descriptors, without waiting until it
+    /// listens.
     pub(crate) fn start_with_descriptor_limit(self, listen: SocketAddr, limit: usize) -> SchedulerProcess {
         let command = program::program_with_descriptor_limit(&self.folder, limit);
         self.start_at(listen, command)
@@ -91,8 +93,10 @@
         SchedulerProcess::spawn(command, self.folder, config, listen)
     }
 
-    /// Starts the process on this address with a named pipe as its configuration file: the process waits until
-    /// [`SchedulerProcess::write_config_in_background`] writes it. Returns at once.
+    /// Starts the process on this address with a named pipe as its configuration file, without waiting until
+    /// it listens.
+    ///
+    /// The process blocks on the pipe until [`SchedulerProcess::write_config_in_background`] writes to it.
     pub(crate) fn start_with_config_pipe(self, listen: SocketAddr) -> SchedulerProcess {
         program::make_config_pipe(&self.folder);
         let command = program::program(&self.folder);
@@ -127,7 +131,7 @@
     }
 }
 
-/// A ready worker as the configuration file writes it.
+/// Returns the entry of a ready worker in the configuration file.
 fn serving_target(id: u32, address: SocketAddr) -> Value {
     json!({
         "uid": format!("s-{id:08x}"),
