--- a/tests/support/deployment.rs
+++ b/tests/support/deployment.rs
@@ -1,5 +1,6 @@
-//! What most tests start from: one stand-in worker, a scheduler that knows it, and a client of one frontend. They come
-//! as separate values, so that a test can move or drop each of them.
+//! Deployments for most tests: one stand-in worker, a scheduler that knows it, and a client of one frontend.
+//!
+//! The parts are separate values, so that a test can move or drop each of them.
 
 use super::configuration::Configuration;
 use super::discovery::{StandInDiscovery, WatchConnection};
@@ -10,12 +11,12 @@
 use super::worker::StandInWorker;
 use serde_json::Value;
 
-/// A node agent, a scheduler with the default settings, and a client of the frame protocol.
+/// Starts a node agent, a scheduler with the default settings, and a client of the frame protocol.
 pub(crate) fn deploy() -> (StandInWorker, SchedulerProcess, FrameClient) {
     deploy_with_settings(default_settings())
 }
 
-/// [`deploy`] with these settings.
+/// Starts the deployment of [`deploy`] with these settings.
 pub(crate) fn deploy_with_settings(settings: Value) -> (StandInWorker, SchedulerProcess, FrameClient) {
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start_with_settings(&[worker.address()], settings);
@@ -23,7 +24,9 @@
     (worker, scheduler, client)
 }
 
-/// A node agent, a discovery service, a scheduler with these settings that watches it, and its first watch connection.
+/// Starts a node agent, a discovery service, and a scheduler with these settings that watches this service.
+///
+/// The last value is the scheduler's first watch connection.
 pub(crate) fn deploy_with_discovery(
     settings: Value,
 ) -> (StandInWorker, StandInDiscovery, SchedulerProcess, WatchConnection) {
@@ -37,7 +40,8 @@
     (worker, discovery, scheduler, watch)
 }
 
-/// A node agent, a scheduler with these settings whose JSON-RPC frontend is open, and a client of that frontend.
+/// Starts a node agent, a scheduler with these settings and an open JSON-RPC frontend, and a client of that
+/// frontend.
 pub(crate) fn deploy_jsonrpc(settings: Value) -> (StandInWorker, SchedulerProcess, JsonRpcClient) {
     let worker = StandInWorker::node_agent();
     let scheduler = Configuration::new(&[worker.address()])
