--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -1,9 +1,9 @@
-//! A stand-in discovery service, whose watch connections the test feeds by hand.
+//! A stand-in discovery service whose watch connections the test controls.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 
-/// The state of a worker as a code of the wire.
+/// The state of a worker, with its code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerState {
     Ready = 0,
@@ -11,32 +11,32 @@
     Gone = 2,
 }
 
-/// How a watch event changes the endpoint list, as a code of the wire.
+/// How a watch event changes the endpoint list, with its code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
     Snapshot = 1,
     Delta = 2,
 }
 
-/// A discovery service, which sends nothing by itself but a heartbeat on each new connection.
+/// A discovery service that sends one heartbeat on each new connection and nothing else by itself.
 pub(crate) struct StandInDiscovery {
     listener: TcpListener,
 }
 
 impl StandInDiscovery {
-    /// A service on a port that the system chooses.
+    /// Starts a service on a port that the system chooses.
     pub(crate) fn new() -> StandInDiscovery {
         StandInDiscovery {
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
     }
 
-    /// The address to put into the configuration.
+    /// Returns the address of the service for the configuration.
     pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits for the next watch connection, which must start after this event.
+    /// Waits for the next watch connection, which must continue after the event with this number.
     #[track_caller]
     pub(crate) fn accept_from(&self, offset: u64) -> WatchConnection {
         let watch = self.accept();
@@ -44,7 +44,7 @@
         watch
     }
 
-    /// Waits for the next watch connection, and sends it a heartbeat: there is nothing new.
+    /// Waits for the next watch connection and sends it a heartbeat that announces no new event.
     pub(crate) fn accept(&self) -> WatchConnection {
         let (mut stream, _) = self.listener.accept().unwrap();
         let mut offset = [0; 8];
@@ -58,35 +58,35 @@
     }
 }
 
-/// The service's end of a watch connection.
+/// The discovery service's end of a watch connection.
 pub(crate) struct WatchConnection {
     stream: TcpStream,
-    /// The number of the last event that the scheduler has.
+    /// The number of the last event that the scheduler has received.
     pub(crate) offset: u64,
 }
 
 impl WatchConnection {
-    /// Sends bytes, which need not be a complete frame.
+    /// Sends bytes, which need not form a complete frame.
     pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Sends on a connection that the scheduler may have closed.
+    /// Sends bytes and ignores errors, because the scheduler may have closed the connection.
     pub(crate) fn try_send(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Waits for the scheduler to end the connection, by a close or a reset.
+    /// Waits for the scheduler to close or reset the connection.
     pub(crate) fn wait_for_close(&mut self) {
         assert_eq!(
             self.stream.read(&mut [0; 64]).unwrap_or(0),
             0,
-            "the watch has ended"
+            "the scheduler sent data instead of closing the watch connection"
         );
     }
 }
 
-/// The frame of a watch event that changes one worker.
+/// Encodes a watch event that changes one worker.
 pub(crate) fn delta_event(number: u64, worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
     event_frame(
         EventKind::Delta,
@@ -95,7 +95,7 @@
     )
 }
 
-/// The frame of a watch event after which the endpoint list is one ready worker.
+/// Encodes a watch event that replaces the endpoint list with one ready worker.
 pub(crate) fn snapshot_event(number: u64, worker_id: u32, address: SocketAddr) -> Vec<u8> {
     event_frame(
         EventKind::Snapshot,
@@ -104,7 +104,7 @@
     )
 }
 
-/// The heartbeat that the service sends each second, with the number of its last event.
+/// Encodes the heartbeat that the service sends each second, with the number of its last event.
 pub(crate) fn heartbeat_frame(number: u64) -> Vec<u8> {
     [&[0, 0, 0, 9][..], &number.to_be_bytes(), &[0]].concat()
 }
@@ -120,7 +120,7 @@
     .concat()
 }
 
-/// A record of 27 bytes; zone, kind, cell and start are 0 and the weight is 4.
+/// Encodes a worker record of 27 bytes, in which zone, kind, cell and start are 0 and the weight is 4.
 fn worker_record(worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
     let mut record = worker_id.to_be_bytes().to_vec();
     record.extend(Ipv4Addr::LOCALHOST.octets());
