--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -1,7 +1,8 @@
 //! A stand-in client of the frame protocol.
 //!
-//! Requests are encoded by the crate, and one test compares that encoding with literal bytes. Responses are decoded here,
-//! with the types and codes written out as the protocol page defines them, so that a fault in the crate's codec shows.
+//! Requests are encoded by the crate, and one test compares that encoding with literal bytes. Responses are
+//! decoded here, with the types and codes that the protocol page defines, so that the tests detect a fault in
+//! the crate's codec.
 
 use super::scheduler_process::SchedulerProcess;
 use super::worker::StandInWorker;
@@ -12,7 +13,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Types of frames.
+/// Frame types on the wire.
 pub(crate) mod frame_type {
     pub(crate) const REQUEST: u8 = 0;
     pub(crate) const RESPONSE: u8 = 1;
@@ -22,17 +23,17 @@
     pub(crate) const GO_AWAY: u8 = 9;
 }
 
-/// Codes of responses.
+/// Response codes on the wire.
 pub(crate) mod code {
     pub(crate) const SERVED: u8 = 79;
     pub(crate) const REJECTED: u8 = 66;
     pub(crate) const FAILED: u8 = 69;
 }
 
-/// The stream of a client's readiness requests; its other requests use others.
+/// The stream of a client's readiness requests, which its other requests do not use.
 const READINESS_STREAM: u32 = 99;
 
-/// A frame that a client has received.
+/// A frame received by a client.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReceivedFrame {
     pub(crate) frame_type: u8,
@@ -41,24 +42,24 @@
 }
 
 impl ReceivedFrame {
-    /// The code of a response.
+    /// Returns the code of a response; panics if the frame is not a response.
     pub(crate) fn code(&self) -> u8 {
         assert_eq!(self.frame_type, frame_type::RESPONSE);
         self.payload[0]
     }
 }
 
-/// The response 'served' with this body.
+/// Returns the frame of a served response with this body.
 pub(crate) fn served(stream: u32, body: &[u8]) -> ReceivedFrame {
     response(stream, code::SERVED, body)
 }
 
-/// The response 'rejected' without a Retry-After.
+/// Returns the frame of a rejected response without a retry-after time.
 pub(crate) fn rejected(stream: u32) -> ReceivedFrame {
     response(stream, code::REJECTED, b"")
 }
 
-/// The response 'failed'; on stream 0 it reports an error of the connection.
+/// Returns the frame of a failed response; on stream 0 it reports an error of the connection.
 pub(crate) fn failed(stream: u32) -> ReceivedFrame {
     response(stream, code::FAILED, b"")
 }
@@ -72,7 +73,7 @@
     }
 }
 
-/// The GOAWAY frame: the connection accepts no new requests.
+/// Returns the GOAWAY frame, which announces that the connection accepts no new requests.
 pub(crate) fn go_away() -> ReceivedFrame {
     ReceivedFrame {
         frame_type: frame_type::GO_AWAY,
@@ -86,12 +87,12 @@
     encode_raw_frame(frame_type, stream, &[payload])
 }
 
-/// Encodes the payload of a request with any fields.
+/// Encodes the payload of a request with these fields.
 pub(crate) fn payload(fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     [&encode_fields(fields)[..], body].concat()
 }
 
-/// Encodes the payload of an ordinary request.
+/// Encodes the payload of a typical request.
 pub(crate) fn request(class: &str, request_id: &str, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
     let timeout_ms = timeout_ms.to_string();
     let fields = [
@@ -105,14 +106,16 @@
     payload(&fields, body)
 }
 
-/// Encodes a frame with the test's n-th request, of the idempotent class, on the stream of the same number.
+/// Encodes a frame with request number `n` of a test, of the idempotent class, on the stream with the same
+/// number.
 pub(crate) fn idempotent_frame(n: u32, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
     let payload = request(IDEMPOTENT_CLASS, &request_id(n), timeout_ms, body);
     frame(frame_type::REQUEST, n, &payload)
 }
 
-/// Encodes the payload of a request with the body `x` to this function. Different functions have different homes among
-/// the workers.
+/// Encodes the payload of a request with the body `x` to this function.
+///
+/// Each function has its own hash order of the workers.
 pub(crate) fn request_to_function(function: u32, request_id: &str, timeout_ms: u64) -> Vec<u8> {
     let function = format!("{function:016x}");
     let timeout_ms = timeout_ms.to_string();
@@ -125,7 +128,7 @@
     payload(&fields, b"x")
 }
 
-/// Cuts a stream of bytes into frames; the last one must be complete.
+/// Splits bytes into frames; panics if the last frame is incomplete.
 pub(crate) fn decode_frames(mut bytes: &[u8]) -> Vec<ReceivedFrame> {
     let mut frames = vec![];
     while !bytes.is_empty() {
@@ -134,7 +137,7 @@
     frames
 }
 
-/// Reads one frame; returns none at the end of the input.
+/// Reads one frame; returns `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Option<ReceivedFrame> {
     let mut length = [0; 4];
     input.read_exact(&mut length).ok()?;
@@ -154,7 +157,7 @@
     pub(crate) stream: TcpStream,
 }
 
-/// Whether a scheduler at this address responds to a readiness request, be it ready or not.
+/// Returns whether a scheduler at this address responds to a readiness request, whether it is ready or not.
 pub(super) fn responds(address: SocketAddr, timeout: Duration) -> bool {
     let readiness_request = frame(frame_type::READINESS_REQUEST, READINESS_STREAM, &[0]);
     let mut response = [0];
@@ -168,29 +171,30 @@
 }
 
 impl FrameClient {
-    /// Connects to the scheduler.
+    /// Connects to the scheduler's frame frontend.
     pub(crate) fn connect(scheduler: &SchedulerProcess) -> FrameClient {
         let stream = TcpStream::connect(scheduler.address).unwrap();
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         FrameClient { stream }
     }
 
-    /// Sends bytes, which need not be a complete frame.
+    /// Sends bytes, which need not form a complete frame.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Sends a request whose payload is encoded.
+    /// Sends a request with an encoded payload.
     pub(crate) fn send_request(&mut self, stream: u32, payload: &[u8]) {
         self.send_bytes(&frame(frame_type::REQUEST, stream, payload));
     }
 
-    /// Sends the test's n-th request, of the idempotent class, on the stream of the same number.
+    /// Sends request number `n` of a test, of the idempotent class, on the stream with the same number.
     pub(crate) fn send_idempotent(&mut self, n: u32, timeout_ms: u64, body: &[u8]) {
         self.send_bytes(&idempotent_frame(n, timeout_ms, body));
     }
 
-    /// Sends the test's n-th request on the stream of the same number, and waits until the worker has received it.
+    /// Sends request number `n` of a test on the stream with the same number, and waits until the worker has
+    /// received it.
     pub(crate) fn send_request_to(&mut self, worker: &StandInWorker, n: u32) -> ReceivedCommand {
         self.send_idempotent(n, 20_000, b"");
         let command = worker.next_request();
@@ -198,22 +202,22 @@
         command
     }
 
-    /// Cancels the request on a stream.
+    /// Sends a frame that cancels the request on a stream.
     pub(crate) fn send_cancel(&mut self, stream: u32) {
         self.send_bytes(&frame(frame_type::CANCEL, stream, &[]));
     }
 
-    /// Asks whether the scheduler is ready.
+    /// Sends a readiness request.
     pub(crate) fn send_readiness_check(&mut self) {
         self.send_bytes(&frame(frame_type::READINESS_REQUEST, READINESS_STREAM, &[0]));
     }
 
-    /// Waits for the next frame; none once the connection has ended.
+    /// Waits for the next frame; returns `None` once the connection has ended.
     pub(crate) fn next_frame(&mut self) -> Option<ReceivedFrame> {
         read_frame(&mut self.stream)
     }
 
-    /// Waits for the next response, past frames of other types.
+    /// Waits for the next response and skips frames of other types.
     pub(crate) fn next_response(&mut self) -> Option<ReceivedFrame> {
         std::iter::from_fn(|| self.next_frame()).find(|frame| frame.frame_type == frame_type::RESPONSE)
     }
@@ -223,47 +227,52 @@
         std::iter::from_fn(|| self.next_frame()).collect()
     }
 
-    /// Waits for the response 'served' with this body to a request; nothing else may come before it.
+    /// Waits for the next frame, which must be the served response with this body to the request on this
+    /// stream.
     #[track_caller]
     pub(crate) fn expect_served(&mut self, stream: u32, body: &[u8]) {
         assert_eq!(self.next_frame(), Some(served(stream, body)));
     }
 
-    /// Waits for the rejection of a request.
+    /// Waits for the next frame, which must be the rejected response to the request on this stream.
     #[track_caller]
     pub(crate) fn expect_rejection(&mut self, stream: u32) {
-        let response = self.next_frame().expect("a response comes");
+        let response = self.next_frame().expect("a response is received");
         assert_eq!((response.stream, response.code()), (stream, code::REJECTED));
     }
 
-    /// Waits for the response 'ready' to a readiness request that has been sent; nothing else may come before it.
+    /// Waits for the next frame, which must be the response to a readiness request that has been sent and say
+    /// that the scheduler is ready.
     pub(crate) fn expect_ready_response(&mut self) {
         self.expect_readiness(code::SERVED);
     }
 
-    /// Asks whether the scheduler is ready, and asserts that it is and that nothing else has come before that.
+    /// Sends a readiness request and asserts that the next frame says that the scheduler is ready.
     pub(crate) fn assert_ready(&mut self) {
         self.send_readiness_check();
         self.expect_readiness(code::SERVED);
     }
 
-    /// The same for a scheduler that is not ready.
+    /// Sends a readiness request and asserts that the next frame says that the scheduler is not ready.
     pub(crate) fn assert_not_ready(&mut self) {
         self.send_readiness_check();
         self.expect_readiness(code::REJECTED);
     }
 
     fn expect_readiness(&mut self, code: u8) {
-        let response = self.next_frame().expect("the readiness request has a response");
+        let response = self.next_frame().expect("a readiness response is received");
         let expected = ReceivedFrame {
             frame_type: frame_type::READINESS_RESPONSE,
             stream: READINESS_STREAM,
             payload: vec![code, 0],
         };
-        assert_eq!(response, expected, "no other frame has come");
+        assert_eq!(
+            response, expected,
+            "the next frame is not the expected readiness response"
+        );
     }
 
-    /// Ends the input of the scheduler, but still reads.
+    /// Closes the sending direction of the connection; responses can still be read.
     pub(crate) fn shutdown_write(&mut self) {
         self.stream.shutdown(Shutdown::Write).unwrap();
     }
