--- a/tests/support/jsonrpc_client.rs
+++ b/tests/support/jsonrpc_client.rs
@@ -9,10 +9,11 @@
 use std::os::unix::net::UnixStream;
 use std::path::Path;
 
-/// The name of the frontend's socket in the folder of a scheduler that has [`operator_file`].
+/// The file name of the frontend's socket in the folder of a scheduler that is configured with
+/// [`operator_file`].
 pub(crate) const SOCKET_NAME: &str = "calls.sock";
 
-/// An operator's file that opens the JSON-RPC frontend.
+/// Returns the text of an operator's file that opens the JSON-RPC frontend.
 pub(crate) fn operator_file(folder: &TempFolder) -> String {
     format!(
         "[jsonrpc]\nsocket = {:?}\nmax_line = 40000\n",
@@ -20,7 +21,7 @@
     )
 }
 
-/// The message of an ordinary request.
+/// Returns the message of a typical request.
 pub(crate) fn request(id: &Value, class: &str, request_id: &str, timeout_ms: u64, body: &str) -> Value {
     json!({
         "jsonrpc": "2.0",
@@ -46,7 +47,7 @@
 }
 
 impl JsonRpcClient {
-    /// Connects to the socket that [`operator_file`] names.
+    /// Connects to the socket that [`operator_file`] configures.
     pub(crate) fn connect(scheduler: &SchedulerProcess) -> JsonRpcClient {
         JsonRpcClient::connect_to(&scheduler.folder.file(SOCKET_NAME))
     }
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Sends bytes, which need not be a complete line.
+    /// Sends bytes, which need not form a complete line.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         self.reader.get_mut().write_all(bytes).unwrap();
     }
@@ -75,7 +76,7 @@
         self.send_line(&message.to_string());
     }
 
-    /// Sends the test's n-th request, of the idempotent class, with the number itself as its JSON-RPC id.
+    /// Sends request number `n` of a test, of the idempotent class, with the number as its JSON-RPC id.
     pub(crate) fn send_idempotent(&mut self, n: u32, timeout_ms: u64, body: &str) {
         self.send(&request(
             &json!(n),
@@ -86,19 +87,19 @@
         ));
     }
 
-    /// Waits for a result with this body in base64.
+    /// Waits for the next message, which must be a result with this body in base64.
     #[track_caller]
     pub(crate) fn expect_body(&mut self, body: &str) {
         assert_eq!(self.next_message()["result"]["body"], body);
     }
 
-    /// Waits for an error with this code.
+    /// Waits for the next message, which must be an error with this code.
     #[track_caller]
     pub(crate) fn expect_error(&mut self, code: i64) {
         assert_eq!(self.next_message()["error"]["code"], code);
     }
 
-    /// Asks whether the scheduler is ready, and asserts the response, which must be the next message.
+    /// Sends a readiness request and asserts the response, which must be the next message.
     #[track_caller]
     pub(crate) fn assert_readiness(&mut self, ready: bool) {
         const ID: &str = "readiness";
@@ -111,21 +112,25 @@
     pub(crate) fn next_message(&mut self) -> Value {
         let mut line = String::new();
         self.reader.read_line(&mut line).unwrap();
-        serde_json::from_str(&line).unwrap_or_else(|_| panic!("a line of JSON, not '{line}'"))
+        serde_json::from_str(&line).unwrap_or_else(|_| panic!("the line is not JSON: '{line}'"))
     }
 
-    /// Waits for the scheduler to close the connection; nothing else may come.
+    /// Waits for the scheduler to close the connection, before which it must not send anything.
     pub(crate) fn expect_close(&mut self) {
         let mut line = String::new();
-        assert_eq!(self.reader.read_line(&mut line).unwrap(), 0, "closed");
+        assert_eq!(
+            self.reader.read_line(&mut line).unwrap(),
+            0,
+            "the scheduler sent a line instead of closing the connection"
+        );
     }
 
-    /// Ends the input of the scheduler, but still reads.
+    /// Closes the sending direction of the connection; responses can still be read.
     pub(crate) fn shutdown_write(&mut self) {
         self.reader.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 
-    /// Another handle of the connection, to write from another thread.
+    /// Returns another handle to the connection, with which another thread can write.
     pub(crate) fn try_clone_stream(&self) -> UnixStream {
         self.reader.get_ref().try_clone().unwrap()
     }
