--- a/tests/support/policy_fixtures.rs
+++ b/tests/support/policy_fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, endpoints, requests and outcomes to feed into a policy.
+//! Fixtures for tests of the policy: settings, endpoints, requests and outcomes.
 
 use function_scheduler::{
     AttemptOutcome, AttemptStatus, CellId, ClassId, DeduplicationScope, DiscoveryMode, Endpoint,
@@ -7,17 +7,18 @@
     TenantId, Time, WorkerId, ZoneId,
 };
 
-/// The class of [`test_settings`] whose requests may be repeated freely.
+/// The class of [`test_settings`] whose requests may always be retried.
 pub(crate) const IDEMPOTENT: ClassId = ClassId(0);
-/// The class whose requests may be repeated in one cell within a deduplication window of 1 s.
+/// The class of [`test_settings`] whose requests may be retried in one cell within a deduplication window of
+/// 1 s.
 pub(crate) const KEYED: ClassId = ClassId(1);
-/// The class whose requests may not be repeated once they may have run.
+/// The class of [`test_settings`] whose requests must not be retried once they may have run.
 pub(crate) const NON_IDEMPOTENT: ClassId = ClassId(2);
 
-/// The time that every attempt takes, unless a test says otherwise.
+/// The latency of each attempt, unless a test sets another one.
 const ATTEMPT_LATENCY: Span = Span::from_millis(100);
 
-/// Settings of a lone scheduler with one class of each kind of idempotency.
+/// Returns the settings of a single scheduler with one class of each kind of idempotency.
 pub(crate) fn test_settings(on_miss: OnMiss) -> Settings {
     let deduplication_window = Span::from_millis(1000);
     let keyed = Idempotency::Keyed {
@@ -74,7 +75,7 @@
     }
 }
 
-/// A ready worker, in one of two cells.
+/// Returns the endpoint of a ready worker in one of two cells.
 pub(crate) fn ready_endpoint(worker: u64) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
@@ -88,7 +89,7 @@
     }
 }
 
-/// A ready worker that started at this time.
+/// Returns the endpoint of a ready worker that started at this time.
 pub(crate) fn endpoint_started_at(worker: u64, started_at: Time) -> Endpoint {
     Endpoint {
         started_at: Some(started_at),
@@ -96,7 +97,7 @@
     }
 }
 
-/// A request of the idempotent class.
+/// Returns a request of the idempotent class.
 pub(crate) fn request(id: u32, function: u64) -> IncomingRequest {
     IncomingRequest {
         id: RequestId(id),
@@ -110,7 +111,7 @@
     }
 }
 
-/// A request of any class.
+/// Returns a request of this class.
 pub(crate) fn request_of_class(id: u32, function: u64, class: ClassId) -> IncomingRequest {
     IncomingRequest {
         class,
@@ -118,7 +119,7 @@
     }
 }
 
-/// The end of an attempt after [`ATTEMPT_LATENCY`], without a load report.
+/// Returns the outcome of an attempt that took [`ATTEMPT_LATENCY`], without a load report.
 pub(crate) fn attempt_outcome(request: RequestId, attempt: u16, status: AttemptStatus) -> AttemptOutcome {
     AttemptOutcome {
         id: request,
