--- a/tests/support/policy_harness.rs
+++ b/tests/support/policy_harness.rs
@@ -1,4 +1,5 @@
-//! Drives the policy by hand: a clock that the test moves, events in, actions out.
+//! A harness that drives the policy alone: the test advances the clock, passes events in and checks the
+//! actions.
 
 use super::policy_fixtures::{attempt_outcome, ready_endpoint};
 use function_scheduler::{
@@ -7,9 +8,9 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The step in which [`PolicyHarness::advance`] moves the clock.
+/// The step by which [`PolicyHarness::advance`] moves the clock.
 const CLOCK_STEP: Span = Span::from_millis(10);
-/// The time that every load takes.
+/// The latency of each load.
 const LOAD_LATENCY: Span = Span::from_millis(500);
 
 /// An attempt that the policy has sent.
@@ -20,14 +21,14 @@
     pub(crate) worker: WorkerId,
 }
 
-/// A load order that the policy has given to a worker.
+/// A load order that the policy has sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RequestedLoad {
     pub(crate) worker: WorkerId,
     pub(crate) function: FunctionId,
 }
 
-/// A policy with its clock and the attempts that it has sent.
+/// A policy with its clock and the attempts that the policy has sent.
 pub(crate) struct PolicyHarness {
     pub(crate) now: Time,
     pub(crate) sent: Vec<SentAttempt>,
@@ -36,7 +37,7 @@
 }
 
 impl PolicyHarness {
-    /// A policy whose endpoint list holds ready workers with ids from 1 to `workers`.
+    /// Creates a policy whose endpoint list contains ready workers with ids from 1 to `workers`.
     pub(crate) fn new(settings: Settings, workers: u64) -> PolicyHarness {
         let mut harness = PolicyHarness {
             now: Time(1_000_000_000_000),
@@ -51,7 +52,7 @@
         harness
     }
 
-    /// Feeds an event in at the present time.
+    /// Passes an event to the policy at the current time and returns the policy's actions.
     pub(crate) fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -73,22 +74,22 @@
         *next += 1;
     }
 
-    /// A request comes in.
+    /// Passes a received request to the policy and returns the policy's actions.
     pub(crate) fn receive(&mut self, request: IncomingRequest) -> Vec<Action> {
         self.handle(Event::RequestReceived(request))
     }
 
-    /// A request comes in; the workers to which it was sent at once.
+    /// Passes a received request to the policy and returns the workers to which it is sent at once.
     pub(crate) fn receive_and_place(&mut self, request: IncomingRequest) -> Vec<WorkerId> {
         workers_sent_to(&self.receive(request))
     }
 
-    /// Feeds in an event of the endpoint list.
+    /// Passes an endpoint update to the policy.
     pub(crate) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         self.handle(Event::EndpointsUpdated { kind, endpoints });
     }
 
-    /// The watch of the endpoint list changes now.
+    /// Reports a change of the discovery watch at the current time and returns the policy's actions.
     pub(crate) fn watch_changed(&mut self, status: WatchStatus) -> Vec<Action> {
         if self.policy.watch_changed(self.now, status) {
             self.handle(Event::TimerFired)
@@ -97,12 +98,12 @@
         }
     }
 
-    /// The policy, to be asked what it knows.
+    /// Returns the policy, for inspection of its state.
     pub(crate) fn policy(&self) -> &Policy {
         &self.policy
     }
 
-    /// Lets time pass, with a timer event at each step of the clock.
+    /// Advances the clock with a timer event at each step, and returns all actions.
     pub(crate) fn advance(&mut self, span: Span) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -113,18 +114,18 @@
         actions
     }
 
-    /// [`PolicyHarness::advance`] by milliseconds.
+    /// Advances the clock like [`PolicyHarness::advance`], by milliseconds.
     pub(crate) fn advance_ms(&mut self, milliseconds: u64) -> Vec<Action> {
         self.advance(Span::from_millis(milliseconds))
     }
 
-    /// Ends the last attempt that was sent.
+    /// Ends the attempt that was sent last.
     pub(crate) fn finish_last_attempt(&mut self, status: AttemptStatus) -> Vec<Action> {
-        let last = *self.sent.last().expect("something was sent");
+        let last = *self.sent.last().expect("an attempt was sent");
         self.finish_attempt(last.request, last.attempt, status)
     }
 
-    /// Ends an attempt that brings no load report.
+    /// Ends an attempt without a load report.
     pub(crate) fn finish_attempt(
         &mut self,
         request: RequestId,
@@ -134,7 +135,7 @@
         self.handle(Event::AttemptFinished(attempt_outcome(request, attempt, status)))
     }
 
-    /// Ends a load on a worker, which then has one instance if the load went well.
+    /// Ends a load on a worker, which then has one instance if the load succeeded.
     pub(crate) fn finish_load(
         &mut self,
         worker: WorkerId,
@@ -152,7 +153,8 @@
         self.handle(Event::LoadFinished(outcome))
     }
 
-    /// Answers every attempt of a request with a miss for as long as the policy retries it; the last actions.
+    /// Ends every attempt of a request with a miss for as long as the policy retries it, and returns the last
+    /// actions.
     pub(crate) fn miss_every_attempt(&mut self, mut actions: Vec<Action>) -> Vec<Action> {
         while !workers_sent_to(&actions).is_empty() {
             actions = self.finish_last_attempt(AttemptStatus::Miss);
@@ -160,13 +162,13 @@
         actions
     }
 
-    /// The workers that attempts were sent to so far.
+    /// Returns the workers to which attempts have been sent so far.
     pub(crate) fn workers_used(&self) -> BTreeSet<WorkerId> {
         self.sent.iter().map(|sent| sent.worker).collect()
     }
 }
 
-/// The workers that these actions send attempts to.
+/// Returns the workers to which these actions send attempts.
 pub(crate) fn workers_sent_to(actions: &[Action]) -> Vec<WorkerId> {
     let worker = |action: &Action| match action {
         Action::Send { worker, .. } => Some(*worker),
@@ -175,7 +177,7 @@
     actions.iter().filter_map(worker).collect()
 }
 
-/// The load orders among these actions.
+/// Returns the load orders among these actions.
 pub(crate) fn requested_loads(actions: &[Action]) -> Vec<RequestedLoad> {
     let load = |action: &Action| match action {
         Action::Load { worker, function, .. } => Some(RequestedLoad {
@@ -187,13 +189,13 @@
     actions.iter().filter_map(load).collect()
 }
 
-/// The rejections and failures of requests among these actions.
+/// Returns the actions among these that reject or fail a request.
 pub(crate) fn rejections_and_failures(actions: &[Action]) -> Vec<Action> {
     let ends_request = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(ends_request).cloned().collect()
 }
 
-/// The number of cancelled attempts among these actions.
+/// Returns the number of attempts that these actions cancel.
 pub(crate) fn cancel_count(actions: &[Action]) -> usize {
     actions
         .iter()
@@ -201,7 +203,7 @@
         .count()
 }
 
-/// The number of health checks among these actions.
+/// Returns the number of health checks among these actions.
 pub(crate) fn health_check_count(actions: &[Action]) -> usize {
     actions
         .iter()
