--- a/tests/support/process_log.rs
+++ b/tests/support/process_log.rs
@@ -1,4 +1,4 @@
-//! What a scheduler process logs: its standard error, collected while the test runs.
+//! The log of a scheduler process: its standard error, collected while the test runs.
 
 use super::WAIT_LIMIT;
 use std::io::{BufRead, BufReader, Read};
@@ -6,26 +6,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a line with the counters starts with, after its time.
+/// The text that follows the time in a log line with the counters.
 const COUNTERS_MARKER: &str = "function-scheduler: counters";
-/// Time between two looks at the log.
+/// The interval between two checks of the log.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the process did with a new configuration.
+/// The result of a reload of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReloadResult {
     Applied,
     Rejected,
 }
 
-/// A log that another thread writes.
+/// A log that a background thread collects.
 #[derive(Clone, Default)]
 pub(super) struct ProcessLog {
     text: Arc<Mutex<String>>,
 }
 
 impl ProcessLog {
-    /// Collects the lines of this output until it ends.
+    /// Starts to collect the lines of this output, until it ends.
     pub(super) fn collect(output: impl Read + Send + 'static) -> ProcessLog {
         let log = ProcessLog::default();
         let shared = log.clone();
@@ -39,12 +39,12 @@
         log
     }
 
-    /// The log so far.
+    /// Returns the log so far.
     pub(super) fn text(&self) -> String {
         self.text.lock().unwrap().clone()
     }
 
-    /// Waits until `find` finds something in the log.
+    /// Waits until `find` returns a value for the log, and returns this value.
     pub(super) fn wait_until<T>(&self, what: &str, find: impl Fn(&str) -> Option<T>) -> T {
         let start = Instant::now();
         loop {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Lets `trigger` have the process log the result of a reload, and waits for that.
+    /// Calls `trigger`, which must cause a reload, and waits for the result in the log.
     pub(super) fn next_reload_result(&self, trigger: impl FnOnce()) -> ReloadResult {
         let earlier = reload_results(&self.text()).len();
         trigger();
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Lets `trigger` have the process print its counters, and waits for the line with them.
+    /// Calls `trigger`, which must cause the process to log its counters, and waits for the line with them.
     pub(super) fn next_counters(&self, trigger: impl FnOnce()) -> String {
         let earlier = counter_lines(&self.text()).count();
         trigger();
@@ -76,12 +76,12 @@
     }
 }
 
-/// The lines with counters in a log, in order.
+/// Returns the lines with counters in a log, in order.
 fn counter_lines(log: &str) -> impl Iterator<Item = &str> {
     log.lines().filter(|line| line.contains(COUNTERS_MARKER))
 }
 
-/// The results of all reloads in a log, in order.
+/// Returns the results of all reloads in a log, in order.
 fn reload_results(log: &str) -> Vec<ReloadResult> {
     let result = |line: &str| {
         if line.contains("function-scheduler: reloaded") {
