--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -1,4 +1,5 @@
-//! Stand-in node agents for tests that decide when a connection comes up and which bytes of it are read.
+//! Stand-in node agents for tests that control when a connection is established and which of its bytes are
+//! read.
 
 use super::WAIT_LIMIT;
 use serde_json::{Value, json};
@@ -7,41 +8,41 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Time without input after which a connection is quiet.
+/// The time without input after which a connection is considered idle.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A node agent whose connections the test reads byte by byte, so that it can leave bytes unread.
+/// A node agent whose connections the test reads itself, so that it can leave bytes unread.
 pub(crate) struct RawWorker {
     listener: TcpListener,
 }
 
 impl RawWorker {
-    /// A worker on a port that the system chooses.
+    /// Starts a worker on a port that the system chooses.
     pub(crate) fn new() -> RawWorker {
         RawWorker {
             listener: TcpListener::bind("127.0.0.1:0").unwrap(),
         }
     }
 
-    /// The address to put into the configuration.
+    /// Returns the address of the worker for the configuration.
     pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits for the next connection.
+    /// Waits for the next connection and accepts it.
     pub(crate) fn accept(&self) -> RawConnection {
         RawConnection::accept_from(&self.listener)
     }
 }
 
-/// A node agent whose connections do not come up, because the system's queue of new ones is full.
+/// A node agent to which new connections are not established, because its listen backlog is full.
 pub(crate) struct FullBacklogWorker {
     listener: TcpListener,
     _queued: TcpStream,
 }
 
 impl FullBacklogWorker {
-    /// A worker whose queue of new connections is full.
+    /// Starts a worker on a port that the system chooses, and fills its listen backlog.
     pub(crate) fn new() -> FullBacklogWorker {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
@@ -52,19 +53,20 @@
         let address = listener.local_addr().unwrap();
         let queued = TcpStream::connect(address).unwrap();
         let beyond_queue = TcpStream::connect_timeout(&address, Duration::from_millis(200));
-        assert!(beyond_queue.is_err(), "the queue is full");
+        assert!(beyond_queue.is_err(), "the listen backlog is not full");
         FullBacklogWorker {
             listener,
             _queued: queued,
         }
     }
 
-    /// The address to put into the configuration.
+    /// Returns the address of the worker for the configuration.
     pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Lets the connection that waits come up.
+    /// Accepts the connection that fills the backlog, so that the pending connection is established, and
+    /// returns the latter.
     pub(crate) fn accept_pending(&self) -> RawConnection {
         self.listener.accept().unwrap();
         RawConnection::accept_from(&self.listener)
@@ -83,18 +85,18 @@
         RawConnection { stream }
     }
 
-    /// Reads the next line, and not a byte beyond it.
+    /// Reads the next line and no byte beyond it.
     pub(crate) fn read_line(&mut self) -> Value {
         let mut line = vec![];
         let mut byte = [0];
         while line.last() != Some(&b'\n') {
-            self.stream.read_exact(&mut byte).expect("a line comes");
+            self.stream.read_exact(&mut byte).expect("a line is received");
             line.push(byte[0]);
         }
         serde_json::from_slice(&line).unwrap()
     }
 
-    /// Reads a request and responds with success; the request must have this id.
+    /// Reads a request, which must have this id, and responds with success and a body in base64.
     pub(crate) fn serve(&mut self, request_id: &str, body: &str) {
         assert_eq!(self.read_line()["rid"], request_id);
         self.succeed(request_id, body);
@@ -105,7 +107,7 @@
         self.stream.write_all(&success_line(request_id, body)).unwrap();
     }
 
-    /// Reads until the connection ends or nothing has come for a while; how many requests were complete.
+    /// Reads until the connection has ended or is idle, and returns the number of complete requests.
     pub(crate) fn count_complete_requests(&mut self) -> u64 {
         self.stream.set_read_timeout(Some(IDLE_TIMEOUT)).unwrap();
         let mut input = vec![];
@@ -118,9 +120,13 @@
         complete.filter(|line| line["verb"] == "go").count() as u64
     }
 
-    /// Waits until unread input is there.
+    /// Waits for input and leaves it unread.
     pub(crate) fn wait_for_unread_input(&self) {
-        assert_eq!(self.stream.peek(&mut [0]).unwrap(), 1, "input has come, unread");
+        assert_eq!(
+            self.stream.peek(&mut [0]).unwrap(),
+            1,
+            "the connection has ended without input"
+        );
     }
 
     /// Waits for the scheduler to close the connection.
@@ -128,17 +134,17 @@
         assert_eq!(self.stream.read(&mut [0]).expect("the connection is closed"), 0);
     }
 
-    /// Asserts that nothing has come on the connection, not even its end.
+    /// Asserts that the connection has no input and has not been closed.
     pub(crate) fn assert_nothing_received(&mut self) {
         self.stream.set_nonblocking(true).unwrap();
         assert!(
             self.stream.read(&mut [0]).is_err(),
-            "nothing came and the connection is not closed"
+            "the connection has input or has been closed"
         );
     }
 }
 
-/// A node agent's response of success in the bytes of the wire.
+/// Encodes a node agent's response with success and a body in base64.
 pub(crate) fn success_line(request_id: &str, body: &str) -> Vec<u8> {
     format!("{}\n", json!({"verb": "200", "rid": request_id, "content": body})).into_bytes()
 }
