--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -1,4 +1,4 @@
-//! The scheduler program as a child process.
+//! Runs the scheduler program as a child process.
 
 use super::WAIT_LIMIT;
 use super::configuration::Configuration;
@@ -15,15 +15,15 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A running scheduler, killed on drop.
+/// A running scheduler process, which is killed on drop.
 pub(crate) struct SchedulerProcess {
     child: Child,
     log: ProcessLog,
-    /// Where it listens for the frame protocol.
+    /// The address of the frame frontend.
     pub(crate) address: SocketAddr,
-    /// Holds its configuration files.
+    /// The folder of the configuration files.
     pub(crate) folder: TempFolder,
-    /// The configuration it was started with.
+    /// The configuration with which the process was started.
     pub(crate) config: Value,
 }
 
@@ -38,7 +38,8 @@
         Configuration::new(workers).settings(settings).start()
     }
 
-    /// Starts the program and collects its log; returns once it listens, where the system has chosen.
+    /// Starts the program on an address that the system chooses, collects its log, and waits until it
+    /// listens.
     pub(super) fn spawn_logged(mut command: Command, folder: TempFolder, config: Value) -> SchedulerProcess {
         command.stderr(Stdio::piped());
         let unknown = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -48,7 +49,7 @@
         process
     }
 
-    /// Starts the program, which listens on this address later; returns at once, with no log.
+    /// Starts the program without collecting its log and without waiting until it listens on this address.
     pub(super) fn spawn(
         mut command: Command,
         folder: TempFolder,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Waits until the program handles a signal, by its number, instead of ending.
+    /// Waits until the program handles the signal with this number, which would terminate it otherwise.
     pub(crate) fn wait_for_signal_handler(&self, signal: u32) {
         let path = format!("/proc/{}/status", self.process_id());
         let start = Instant::now();
@@ -75,25 +76,32 @@
             if caught & (1 << (signal - 1)) != 0 {
                 return;
             }
-            assert!(start.elapsed() < WAIT_LIMIT, "signal {signal} has no handler");
+            assert!(
+                start.elapsed() < WAIT_LIMIT,
+                "the program has no handler for signal {signal}"
+            );
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Whether clients can connect before the limit on waits has passed or the program ends.
+    /// Returns whether clients can connect before [`WAIT_LIMIT`] has passed or the program has ended.
     pub(crate) fn becomes_reachable(&mut self) -> bool {
         self.wait_for_condition(|address, _| TcpStream::connect(address).is_ok())
     }
 
-    /// Whether the program responds to clients before the limit on waits has passed or it ends. A connection alone does
-    /// not show that: a child that a test in another thread starts holds this process's listeners until it runs its
-    /// own program, and until then the system completes connections to an address whose listener has been dropped.
+    /// Returns whether the program responds to clients before [`WAIT_LIMIT`] has passed or the program has
+    /// ended.
+    ///
+    /// An established connection alone does not show that: a child process that a test in another thread
+    /// starts inherits the listeners of the test process until it executes its own program, and until then
+    /// the system establishes connections to an address whose listener the test has dropped.
     pub(crate) fn becomes_responsive(&mut self) -> bool {
         self.wait_for_condition(frame_client::responds)
     }
 
-    /// Whether the condition on the address, which may take the given time, holds before the limit on waits has passed
-    /// or the program ends.
+    /// Returns whether the condition holds before [`WAIT_LIMIT`] has passed or the program has ended.
+    ///
+    /// The arguments of the condition are the address and the time that the condition may take.
     fn wait_for_condition(&mut self, condition: impl Fn(SocketAddr, Duration) -> bool) -> bool {
         let start = Instant::now();
         while start.elapsed() < WAIT_LIMIT && !self.has_ended() {
@@ -105,7 +113,7 @@
         false
     }
 
-    /// Whether the program has ended.
+    /// Returns whether the program has ended.
     pub(crate) fn has_ended(&mut self) -> bool {
         self.child.try_wait().unwrap().is_some()
     }
@@ -115,29 +123,29 @@
         let mut words = log.split_whitespace();
         let address = words.find_map(|word| word.strip_prefix("listen="));
         address
-            .expect("the start is logged with the address")
+            .expect("the log states the listen address")
             .parse()
             .unwrap()
     }
 
-    /// The process id.
+    /// Returns the process id.
     pub(crate) fn process_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until the log holds this text, and returns all of the log.
+    /// Waits until the log contains this text, and returns the whole log.
     pub(crate) fn wait_for_log(&self, text: &str) -> String {
         self.wait_for_log_occurrences(text, 1)
     }
 
-    /// Waits until the log holds this text so many times, and returns all of the log.
+    /// Waits until the log contains this text at least this many times, and returns the whole log.
     pub(crate) fn wait_for_log_occurrences(&self, text: &str, times: usize) -> String {
         self.log.wait_until(text, |log| {
             (log.matches(text).count() >= times).then(|| log.to_owned())
         })
     }
 
-    /// Sends a signal by its name without SIG.
+    /// Sends the signal with this name, which is given without the prefix `SIG`.
     pub(crate) fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args(["-s", name, &self.process_id().to_string()])
@@ -145,22 +153,23 @@
         assert!(status.unwrap().success());
     }
 
-    /// The text of the operator's file from now on; read at the next reload.
+    /// Replaces the operator's file, which the program reads at the next reload.
     pub(crate) fn write_operator_file(&self, text: &str) {
         program::write_operator_file(&self.folder, text);
     }
 
-    /// The text of the configuration file from now on; read at the next reload.
+    /// Replaces the configuration file, which the program reads at the next reload.
     pub(crate) fn write_config(&self, text: &str) {
         program::write_config(&self.folder, text);
     }
 
-    /// Writes the configuration that the program was started with to its configuration pipe, once the program reads it.
+    /// Writes the configuration with which the program was started to its configuration pipe, in another
+    /// thread, because the write blocks until the program reads the pipe.
     pub(crate) fn write_config_in_background(&self) {
         program::write_config_in_background(&self.folder, self.config.to_string());
     }
 
-    /// Writes a configuration, has it read with SIGHUP, and waits for the result.
+    /// Writes a configuration, reloads it with SIGHUP, and waits for the result.
     pub(crate) fn reload(&self, config: &str) -> ReloadResult {
         self.log.next_reload_result(|| {
             self.write_config(config);
@@ -168,7 +177,7 @@
         })
     }
 
-    /// Reloads the configuration that the program was started with, changed like this; the change must be applied.
+    /// Reloads the configuration with which the program was started after a change, which must be applied.
     #[track_caller]
     pub(crate) fn apply_change(&self, change: impl FnOnce(&mut Value)) {
         let mut config = self.config.clone();
@@ -176,7 +185,7 @@
         assert_eq!(self.reload(&config.to_string()), ReloadResult::Applied);
     }
 
-    /// The value of a counter now, as printed after SIGUSR1.
+    /// Returns the current value of a counter, which the process prints on SIGUSR1.
     pub(crate) fn counter(&self, name: &str) -> u64 {
         let line = self.log.next_counters(|| self.signal("USR1"));
         let prefix = format!("{name}=");
@@ -191,15 +200,15 @@
         assert_eq!(actual, expected);
     }
 
-    /// Waits until a counter has come to this value at least.
+    /// Waits until a counter has at least this value.
     pub(crate) fn wait_for_counter(&self, name: &str, minimum: u64) {
         let start = Instant::now();
         while self.counter(name) < minimum {
-            assert!(start.elapsed() < WAIT_LIMIT, "{name} stays under {minimum}");
+            assert!(start.elapsed() < WAIT_LIMIT, "{name} stays below {minimum}");
         }
     }
 
-    /// Has the system give the process no more descriptors than these.
+    /// Sets the limit on the number of descriptors of the process.
     pub(crate) fn limit_descriptors(&self, limit: usize) {
         let process_id = self.process_id().to_string();
         let limit = format!("--nofile={limit}:");
@@ -209,19 +218,19 @@
         assert!(status.unwrap().success());
     }
 
-    /// How many descriptors the process has open.
+    /// Returns the number of open descriptors of the process.
     pub(crate) fn open_descriptor_count(&self) -> usize {
         let folder = format!("/proc/{}/fd", self.process_id());
         std::fs::read_dir(folder).unwrap().count()
     }
 
-    /// Waits for the process to end, which it must do with success.
+    /// Waits for the process to exit and asserts that its exit status is success.
     #[track_caller]
     pub(crate) fn expect_orderly_exit(&mut self) {
         assert!(self.wait_for_exit().success());
     }
 
-    /// Waits for the process to end.
+    /// Waits for the process to exit.
     pub(crate) fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
