--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -1,16 +1,16 @@
-//! The site's settings as JSON, in the words of the settings page.
+//! The site's settings as JSON, with the names of the settings page.
 
 use super::{IDEMPOTENT_CLASS, KEYED_CLASS};
 use function_scheduler::Site;
 use function_scheduler::config::{ConfigError, parse_site};
 use serde_json::{Value, json};
 
-/// The site that these settings describe.
+/// Parses the site that these settings describe.
 pub(crate) fn site(settings: &Value) -> Result<Site, ConfigError> {
     parse_site(settings.to_string().as_bytes())
 }
 
-/// The least settings that are accepted.
+/// Returns the minimal settings that are accepted.
 pub(crate) fn minimal_settings() -> Value {
     json!({
         "fleetSize": 1, "index": 0, "classes": [],
@@ -20,14 +20,14 @@
     })
 }
 
-/// The least settings with another value of one key.
+/// Returns the minimal settings with another value of one key.
 pub(crate) fn minimal_settings_with(key: &str, value: Value) -> Value {
     let mut settings = minimal_settings();
     settings[key] = value;
     settings
 }
 
-/// Settings of a lone scheduler with one class that is idempotent and one that is keyed.
+/// Returns the settings of a single scheduler with one idempotent and one keyed class.
 pub(crate) fn default_settings() -> Value {
     json!({
         "fleetSize": 1,
@@ -79,14 +79,15 @@
     })
 }
 
-/// Settings of one scheduler in a large fleet: its requests to one worker share a connection.
+/// Returns the settings of one scheduler in a large fleet, whose requests to one worker share a connection.
 pub(crate) fn large_fleet_settings() -> Value {
     let mut settings = default_settings();
     settings["fleetSize"] = json!(100);
     settings
 }
 
-/// The settings of a large fleet, with a connect timeout and a grace period for drains that no test reaches.
+/// Returns the settings of a large fleet with a connect timeout and a grace period for drains that no test
+/// reaches.
 pub(crate) fn slow_connect_settings() -> Value {
     let mut settings = large_fleet_settings();
     settings["bounds"]["connectTimeoutNs"] = json!(15_000_000_000u64);
@@ -94,14 +95,14 @@
     settings
 }
 
-/// Settings under which the scheduler sends health checks to silent workers.
+/// Returns settings under which the scheduler sends health checks to silent workers.
 pub(crate) fn health_check_settings() -> Value {
     let mut settings = default_settings();
     settings["bounds"]["probes"] = json!(true);
     settings
 }
 
-/// Settings in which the keyed class has this deduplication window.
+/// Returns settings in which the keyed class has this deduplication window.
 pub(crate) fn deduplication_window_settings(nanoseconds: u64) -> Value {
     let mut settings = default_settings();
     settings["classes"][1]["repeatWindowNs"] = json!(nanoseconds);
