--- a/tests/support/simulator_wire.rs
+++ b/tests/support/simulator_wire.rs
@@ -1,26 +1,26 @@
-//! Bytes of the simulator's wire, written out as its page defines them: records and batches of them.
+//! Encodes records and batches of the simulator's wire format, as its page defines them.
 
-/// An `ACCEPT` record, in hexadecimal: a request for instance 3.
+/// An `ACCEPT` record of a request for instance 3, in hexadecimal.
 pub(crate) const ACCEPT: &str = "03 0000002f 0003 5d3a91c4 40000000 0000 00000000 0000 000000000e4e1c00 \
      0000000000b71b00 01 43c00000 0000007c55d20a01";
 
-/// Code of an `OPEN_INSTANCE` record.
+/// The code of an `OPEN_INSTANCE` record.
 const OPEN_INSTANCE: u8 = 1;
-/// Bytes of an `OPEN_INSTANCE` record's fields before its settings.
+/// The number of bytes of an `OPEN_INSTANCE` record's fields before its settings.
 const OPEN_INSTANCE_FIXED_LENGTH: u32 = 14;
-/// Bytes of a record's code and length, which stand before its fields.
+/// The number of bytes of a record's code and length, which precede its fields.
 const RECORD_HEADER_LENGTH: usize = 5;
-/// Last byte of a record's length.
+/// The index of the last byte of a record's length.
 const RECORD_LENGTH_LAST_BYTE: usize = 4;
-/// Bytes of a batch's record count, which the length in its header includes.
+/// The number of bytes of a batch's record count, which the length in its header includes.
 const COUNT_LENGTH: u32 = 4;
 
-/// Last byte of the length in a batch's header.
+/// The index of the last byte of the length in a batch's header.
 pub(crate) const BATCH_LENGTH_LAST_BYTE: usize = 11;
-/// Last byte of the number of records in a batch's header.
+/// The index of the last byte of the record count in a batch's header.
 pub(crate) const BATCH_COUNT_LAST_BYTE: usize = 15;
 
-/// The bytes that hexadecimal digits stand for; anything else in the text is skipped.
+/// Decodes hexadecimal digits; all other characters in the text are skipped.
 pub(crate) fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
@@ -29,7 +29,7 @@
         .collect()
 }
 
-/// A batch with these records at this clock time in nanoseconds.
+/// Encodes a batch of these records at this clock time in nanoseconds.
 pub(crate) fn batch(now: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let records_bytes = records.concat();
     let mut bytes = now.to_be_bytes().to_vec();
@@ -39,14 +39,14 @@
     bytes
 }
 
-/// A batch whose byte at this position is another.
+/// Encodes a batch of these records and replaces its byte at this position.
 pub(crate) fn batch_with_byte(records: &[Vec<u8>], position: usize, byte: u8) -> Vec<u8> {
     let mut bytes = batch(5, records);
     bytes[position] = byte;
     bytes
 }
 
-/// An `OPEN_INSTANCE` record with these settings.
+/// Encodes an `OPEN_INSTANCE` record with these settings.
 pub(crate) fn open_instance(instance: u16, settings: &str) -> Vec<u8> {
     let mut record = vec![OPEN_INSTANCE];
     record.extend((OPEN_INSTANCE_FIXED_LENGTH + settings.len() as u32).to_be_bytes());
@@ -57,7 +57,7 @@
     record
 }
 
-/// An `ACCEPT` record that ends inside its fields.
+/// Returns an `ACCEPT` record that ends within its fields.
 pub(crate) fn short_accept() -> Vec<u8> {
     let length = 0x20;
     let mut record = hex(ACCEPT);
@@ -66,7 +66,7 @@
     record
 }
 
-/// An `ACCEPT` record whose length reaches beyond its fields.
+/// Returns an `ACCEPT` record whose length exceeds that of its fields.
 pub(crate) fn long_accept() -> Vec<u8> {
     let mut record = hex(ACCEPT);
     record[RECORD_LENGTH_LAST_BYTE] = 0x30;
