--- a/tests/support/temp_folder.rs
+++ b/tests/support/temp_folder.rs
@@ -1,15 +1,15 @@
-//! A temporary folder.
+//! A temporary folder for a test.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A folder of one test's own, removed on drop.
+/// A temporary folder of one test, which is removed on drop.
 pub(crate) struct TempFolder {
     path: PathBuf,
 }
 
 impl TempFolder {
-    /// An empty folder.
+    /// Creates an empty folder.
     pub(crate) fn new() -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -19,7 +19,7 @@
         TempFolder { path }
     }
 
-    /// The path of a file in the folder.
+    /// Returns the path of a file in the folder.
     pub(crate) fn file(&self, name: impl AsRef<Path>) -> PathBuf {
         self.path.join(name)
     }
