--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,5 +1,6 @@
-//! Stand-in workers: node agents over TCP and JSON-RPC workers over Unix sockets. Every command that they receive
-//! is handed to the test, which responds to it.
+//! Stand-in workers: node agents over TCP and JSON-RPC workers over Unix sockets.
+//!
+//! A stand-in passes each command that it receives to the test, which responds to it.
 
 use super::WAIT_LIMIT;
 use super::worker_command::{CommandKind, ReceivedCommand, WorkerReply, kind_of};
@@ -16,14 +17,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// A worker on a socket of its own.
+/// A stand-in worker with its own listening socket.
 pub(crate) struct StandInWorker {
     address: Option<SocketAddr>,
     commands: Receiver<ReceivedCommand>,
 }
 
 impl StandInWorker {
-    /// A node agent on a TCP port of the system's choice.
+    /// Starts a node agent on a TCP port that the system chooses.
     pub(crate) fn node_agent() -> StandInWorker {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = Some(listener.local_addr().unwrap());
@@ -31,7 +32,7 @@
         StandInWorker { address, commands }
     }
 
-    /// A JSON-RPC worker on a Unix socket at this path.
+    /// Starts a JSON-RPC worker on a Unix socket at this path.
     pub(crate) fn jsonrpc(path: &Path) -> StandInWorker {
         let listener = UnixListener::bind(path).unwrap();
         let commands = collect_commands(move || listener.accept().unwrap().0);
@@ -41,9 +42,9 @@
         }
     }
 
-    /// The address of a node agent.
+    /// Returns the address of a node agent; panics for a JSON-RPC worker.
     pub(crate) fn address(&self) -> SocketAddr {
-        self.address.expect("a node agent")
+        self.address.expect("the worker is a node agent")
     }
 
     /// Waits for the next command.
@@ -53,7 +54,7 @@
             .expect("the worker receives a command")
     }
 
-    /// Waits for the next command, which must be of this kind and about this request.
+    /// Waits for the next command, which must have this kind and this request id.
     #[track_caller]
     pub(crate) fn expect_command(&self, kind: CommandKind, request_id: &str) -> ReceivedCommand {
         let command = self.next_command();
@@ -64,7 +65,7 @@
         command
     }
 
-    /// Waits for the next request; loads succeed, and commands without a response are passed over.
+    /// Waits for the next request; responds to loads with success and skips other commands.
     pub(crate) fn next_request(&self) -> ReceivedCommand {
         loop {
             let mut command = self.next_command();
@@ -76,18 +77,19 @@
         }
     }
 
-    /// A command, if one has come.
+    /// Waits for 1 ms and returns a command if one has been received.
     pub(crate) fn poll_command(&self) -> Option<ReceivedCommand> {
         thread::sleep(Duration::from_millis(1));
         self.commands.try_recv().ok()
     }
 
-    /// Whether no command waits: of all that the scheduler sent before the response that the caller has just read.
+    /// Returns whether no command is pending, among all that the scheduler sent before the response that the
+    /// caller has just read.
     pub(crate) fn is_idle(&self) -> bool {
         self.commands.try_recv().is_err()
     }
 
-    /// Replies to every command as `reply_to` says, for as long as the test lasts, and logs the commands.
+    /// Replies to each command with the result of `reply_to` until the test ends, and logs the commands.
     pub(crate) fn serve(
         self,
         reply_to: impl Fn(&ReceivedCommand) -> Option<WorkerReply> + Send + 'static,
@@ -106,7 +108,7 @@
     }
 }
 
-/// The commands of all connections that this function accepts.
+/// Accepts connections in another thread and returns the channel of their commands.
 fn collect_commands<Stream>(accept: impl Fn() -> Stream + Send + 'static) -> Receiver<ReceivedCommand>
 where
     OwnedFd: From<Stream>,
@@ -120,14 +122,14 @@
     commands
 }
 
-/// Hands the commands of one connection to the test, in a thread that ends with the connection.
+/// Sends the commands of one connection to the test, in a thread that ends with the connection.
 fn read_commands(stream: OwnedFd, connection: usize, sender: Sender<ReceivedCommand>) {
     thread::spawn(move || {
         let stream = Socket::from(stream);
         let responses = stream.try_clone().unwrap();
         for line in BufReader::new(stream).lines() {
             let Ok(line) = line else { return };
-            let message = serde_json::from_str(&line).expect("every line is JSON");
+            let message = serde_json::from_str(&line).expect("each line is JSON");
             let stream = responses.try_clone().unwrap();
             let command = ReceivedCommand::new(message, connection, stream);
             if sender.send(command).is_err() {
@@ -137,19 +139,19 @@
     });
 }
 
-/// The commands that a worker has received while it served them by itself.
+/// The commands that a worker has received since [`StandInWorker::serve`].
 #[derive(Clone, Default)]
 pub(crate) struct CommandLog {
     messages: Arc<Mutex<Vec<Value>>>,
 }
 
 impl CommandLog {
-    /// The first command as it came.
+    /// Returns the message of the first command.
     pub(crate) fn first_message(&self) -> Value {
         self.messages.lock().unwrap()[0].clone()
     }
 
-    /// The number of commands of each kind.
+    /// Returns the number of commands of each kind.
     pub(crate) fn counts(&self) -> BTreeMap<CommandKind, usize> {
         let mut counts = BTreeMap::new();
         for message in self.messages.lock().unwrap().iter() {
@@ -158,13 +160,13 @@
         counts
     }
 
-    /// The number of commands of one kind.
+    /// Returns the number of commands of one kind.
     pub(crate) fn count(&self, kind: CommandKind) -> usize {
         self.counts().get(&kind).copied().unwrap_or(0)
     }
 }
 
-/// Responds to requests with the body that they brought, and to loads with success.
+/// Returns the reply of a worker that responds to requests with their own body, and to loads with success.
 pub(crate) fn echo(command: &ReceivedCommand) -> Option<WorkerReply> {
     match command.kind() {
         CommandKind::Run => Some(WorkerReply::ok(command.body())),
