--- a/tests/support/worker_command.rs
+++ b/tests/support/worker_command.rs
@@ -1,12 +1,12 @@
-//! The commands that a stand-in worker receives and the responses that it sends, in the node agents' protocol and in
-//! JSON-RPC.
+//! The commands that a stand-in worker receives and the responses that it sends, in the node agent protocol
+//! and in JSON-RPC.
 
 use serde_json::{Value, json};
 use socket2::Socket;
 use std::io::Write;
 use std::net::Shutdown;
 
-/// What a worker is asked to do, in either protocol.
+/// The kind of a command, in either protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CommandKind {
     Run,
@@ -16,7 +16,7 @@
     HealthCheck,
 }
 
-/// How a worker ends a request or a load.
+/// The status of a worker's response to a request or a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WorkerStatus {
     Ok,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The JSON-RPC error code; none for success.
+    /// Returns the JSON-RPC error code, or `None` for success.
     fn jsonrpc_code(self) -> Option<i32> {
         match self {
             WorkerStatus::Ok => None,
@@ -46,14 +46,14 @@
     }
 }
 
-/// The response of a worker that serves by itself.
+/// The response of a stand-in worker to a command.
 pub(crate) struct WorkerReply {
     status: WorkerStatus,
     body: String,
 }
 
 impl WorkerReply {
-    /// Success with a body in base64.
+    /// Creates a success response with a body in base64.
     pub(crate) fn ok(body: &str) -> WorkerReply {
         WorkerReply {
             status: WorkerStatus::Ok,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Any other end.
+    /// Creates a response with another status and an empty body.
     pub(crate) fn failure(status: WorkerStatus) -> WorkerReply {
         WorkerReply {
             status,
@@ -70,17 +70,17 @@
     }
 }
 
-/// A command that a worker has received, with the connection to respond on.
+/// A command that a worker has received, with the connection for the response.
 pub(crate) struct ReceivedCommand {
-    /// The line as it came.
+    /// The JSON message of the command.
     pub(crate) message: Value,
-    /// The number of the connection, counted by the worker from 0.
+    /// The number of the connection, which the worker counts from 0.
     pub(crate) connection: usize,
     stream: Socket,
 }
 
 impl ReceivedCommand {
-    /// A command that came on this stream, the worker's n-th connection.
+    /// Creates a command that was received on this stream, which is the worker's connection with this number.
     pub(super) fn new(message: Value, connection: usize, stream: Socket) -> ReceivedCommand {
         ReceivedCommand {
             message,
@@ -89,12 +89,12 @@
         }
     }
 
-    /// What the worker is asked to do.
+    /// Returns the kind of the command.
     pub(crate) fn kind(&self) -> CommandKind {
         kind_of(&self.message)
     }
 
-    /// The id that a response has to carry, or that a cancel names.
+    /// Returns the id that a response to the command must carry, or that a cancel refers to.
     pub(crate) fn request_id(&self) -> String {
         let message = &self.message;
         let id = if self.is_jsonrpc() {
@@ -109,7 +109,7 @@
         self.message.get("verb").is_none()
     }
 
-    /// The body of a request in base64.
+    /// Returns the body of a request in base64.
     pub(crate) fn body(&self) -> &str {
         let path = if self.is_jsonrpc() {
             "/params/body"
@@ -120,17 +120,17 @@
         body.expect("the command has a body")
     }
 
-    /// Writes any bytes on the command's connection.
+    /// Writes bytes on the command's connection and ignores errors.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Writes a line on the command's connection.
+    /// Writes a message and a line end on the command's connection.
     pub(crate) fn send_line(&mut self, message: &Value) {
         self.send_bytes(format!("{message}\n").as_bytes());
     }
 
-    /// Ends the command's connection.
+    /// Closes the command's connection in both directions.
     pub(crate) fn close_connection(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -140,12 +140,12 @@
         self.reply(&WorkerReply::ok(body));
     }
 
-    /// Responds with another status.
+    /// Responds with another status and an empty body.
     pub(crate) fn fail(&mut self, status: WorkerStatus) {
         self.reply(&WorkerReply::failure(status));
     }
 
-    /// Responds in the protocol of the command.
+    /// Sends a response in the protocol of the command.
     pub(crate) fn reply(&mut self, reply: &WorkerReply) {
         let line = if self.is_jsonrpc() {
             self.jsonrpc_reply(reply)
@@ -178,7 +178,7 @@
     }
 }
 
-/// The kind of a command in either protocol; an unknown command fails the test.
+/// Returns the kind of a command in either protocol; panics if the command is unknown.
 pub(super) fn kind_of(message: &Value) -> CommandKind {
     if let Some(method) = message.get("method") {
         return match method.as_str() {
