--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -1,7 +1,7 @@
 //! Totals over all seeds: the faults that were covered and the invariants that were violated.
 
 use crate::faults::{FaultKind, PlannedFault};
-use crate::invariants::{Invariant, OutageService, count_outage_service};
+use crate::invariants::{Invariant, OutageRequestCounts, count_outage_service};
 use crate::recorder::Event;
 use crate::request::ResponseStatus;
 use crate::run::RunResult;
@@ -18,7 +18,7 @@
     overlapping_pairs: BTreeSet<[FaultKind; 2]>,
     /// The triples of fault kinds that were active at the same time.
     overlapping_triples: BTreeSet<[FaultKind; 3]>,
-    outage_service: OutageService,
+    outage_service: OutageRequestCounts,
     violations: BTreeMap<Invariant, usize>,
     violating_seeds: Vec<u64>,
 }
--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -26,7 +26,7 @@
 mod time_limit;
 mod violation;
 
-pub(crate) use outage_service::{OutageService, count as count_outage_service};
+pub(crate) use outage_service::{OutageRequestCounts, count as count_outage_service};
 pub(crate) use recovery::check as check_recovery;
 pub(crate) use violation::{Invariant, Violation};
 
--- a/crates/fault-soak/src/invariants/outage_service.rs
+++ b/crates/fault-soak/src/invariants/outage_service.rs
@@ -13,16 +13,16 @@
 
 /// Counts of the requests that were sent late in outages.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct OutageService {
+pub(crate) struct OutageRequestCounts {
     pub(crate) sent: usize,
     pub(crate) served: usize,
 }
 
 /// Counts the requests of a run that were sent while the endpoint list was stale, and how many of them were
 /// served.
-pub(crate) fn count(records: &[Record]) -> OutageService {
+pub(crate) fn count(records: &[Record]) -> OutageRequestCounts {
     let history = RunHistory::from_records(records);
-    let mut service = OutageService::default();
+    let mut counts = OutageRequestCounts::default();
     for request in history.requests() {
         let Some(sent) = request.sent else { continue };
         let mut outages = history.outages.iter();
@@ -32,14 +32,14 @@
         }) {
             continue;
         }
-        service.sent += 1;
+        counts.sent += 1;
         let is_served = |status| status == ResponseStatus::Served;
-        service.served += usize::from(
+        counts.served += usize::from(
             request
                 .responses
                 .iter()
                 .any(|response| is_served(response.status)),
         );
     }
-    service
+    counts
 }
