--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -1,7 +1,7 @@
 //! Totals over all seeds: the faults that were covered and the invariants that were violated.
 
 use crate::faults::{FaultKind, PlannedFault};
-use crate::invariants::{Invariant, OutageRequestCounts, count_outage_service};
+use crate::invariants::{Invariant, OutageRequestCounts, count_outage_requests};
 use crate::recorder::Event;
 use crate::request::ResponseStatus;
 use crate::run::RunResult;
@@ -18,7 +18,7 @@
     overlapping_pairs: BTreeSet<[FaultKind; 2]>,
     /// The triples of fault kinds that were active at the same time.
     overlapping_triples: BTreeSet<[FaultKind; 3]>,
-    outage_service: OutageRequestCounts,
+    outage_requests: OutageRequestCounts,
     violations: BTreeMap<Invariant, usize>,
     violating_seeds: Vec<u64>,
 }
@@ -37,9 +37,9 @@
         for fault in schedule {
             *self.faults.entry(fault.kind).or_default() += 1;
         }
-        let outage_service = count_outage_service(&result.records);
-        self.outage_service.sent += outage_service.sent;
-        self.outage_service.served += outage_service.served;
+        let outage_requests = count_outage_requests(&result.records);
+        self.outage_requests.sent += outage_requests.sent;
+        self.outage_requests.served += outage_requests.served;
         self.add_overlaps(schedule);
         for violation in &result.violations {
             *self.violations.entry(violation.invariant).or_default() += 1;
@@ -88,7 +88,7 @@
         );
         println!(
             "of {} requests sent while discovery was out of reach for long, {} were served",
-            self.outage_service.sent, self.outage_service.served
+            self.outage_requests.sent, self.outage_requests.served
         );
         println!(
             "violated invariants {:?}, in seeds {:?}",
--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -13,7 +13,7 @@
 mod draining;
 mod final_response;
 mod history;
-mod outage_service;
+mod outage_requests;
 mod process_exit;
 mod process_health;
 mod recovery;
@@ -26,7 +26,7 @@
 mod time_limit;
 mod violation;
 
-pub(crate) use outage_service::{OutageRequestCounts, count as count_outage_service};
+pub(crate) use outage_requests::{OutageRequestCounts, count as count_outage_requests};
 pub(crate) use recovery::check as check_recovery;
 pub(crate) use violation::{Invariant, Violation};
 
