--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -20,7 +20,7 @@
 /// Percentage of connections that ignore GOAWAY even without a fault.
 const IGNORES_GO_AWAY_PERCENT: u8 = 40;
 /// Range of the ids of the functions that requests call.
-const FUNCTIONS: RangeInclusive<u64> = 1..=24;
+const FUNCTION_IDS: RangeInclusive<u64> = 1..=24;
 /// Range of the number of requests on a connection before it is closed.
 const REQUESTS_PER_CONNECTION: RangeInclusive<u32> = 10..=80;
 /// Maximum number of requests in flight on a connection.
@@ -143,7 +143,7 @@
             request,
             class,
             timeout,
-            function: fastrand::u64(FUNCTIONS),
+            function: fastrand::u64(FUNCTION_IDS),
             body: &request_body(request),
         };
         self.state.add_in_flight(stream, request);
