--- a/crates/fault-soak/src/environment/scheduler/lifecycle.rs
+++ b/crates/fault-soak/src/environment/scheduler/lifecycle.rs
@@ -106,7 +106,7 @@
         let Some(process) = self.process() else {
             return;
         };
-        process.request_exit();
+        process.set_exit_requested();
         self.record_for(process.incarnation, ProcessEvent::Terminated);
         process.signal(Signal::SIGTERM);
         let terminated_at = Instant::now();
@@ -128,7 +128,7 @@
         let Some(process) = self.process() else {
             return;
         };
-        process.request_exit();
+        process.set_exit_requested();
         self.set_in_rotation(false);
         self.record_for(process.incarnation, ProcessEvent::Killed);
         process.signal(Signal::SIGKILL);
--- a/crates/fault-soak/src/environment/scheduler/process.rs
+++ b/crates/fault-soak/src/environment/scheduler/process.rs
@@ -49,7 +49,7 @@
         self.exit_was_requested.load(Ordering::Relaxed)
     }
 
-    pub(super) fn request_exit(&self) {
+    pub(super) fn set_exit_requested(&self) {
         self.exit_was_requested.store(true, Ordering::Relaxed);
     }
 
