--- a/crates/fault-soak/src/environment/client/connection_state.rs
+++ b/crates/fault-soak/src/environment/client/connection_state.rs
@@ -73,7 +73,7 @@
         self.has_received_go_away.load(Ordering::Relaxed)
     }
 
-    pub(super) fn receive_go_away(&self) {
+    pub(super) fn set_go_away_received(&self) {
         self.has_received_go_away.store(true, Ordering::Relaxed);
     }
 
--- a/crates/fault-soak/src/environment/client/response_reader.rs
+++ b/crates/fault-soak/src/environment/client/response_reader.rs
@@ -36,7 +36,7 @@
                     body_matches: body == request_body(request),
                 });
             }
-            Ok(Some(ReceivedFrame::GoAway)) => state.receive_go_away(),
+            Ok(Some(ReceivedFrame::GoAway)) => state.set_go_away_received(),
             Ok(Some(ReceivedFrame::Readiness { .. })) => {}
             Ok(None) | Err(_) => {
                 let was_closed_before = state.close();
