--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -14,7 +14,7 @@
 const SLOT_BYTES: usize = size_of::<i64>();
 /// The index of the first slot that belongs to a system call.
 const FIRST_CALL_SLOT: usize = 8;
-/// The number of slots of a system call: one for its error and one for its failure rate.
+/// The number of slots that each system call has: one for its error and one for its failure rate.
 const SLOTS_PER_CALL: usize = 2;
 
 /// The position of one integer in the control file.
@@ -22,15 +22,16 @@
 pub struct Slot(usize);
 
 impl Slot {
-    /// The offset that is added to the wall clock, in nanoseconds.
+    /// The slot of the offset that is added to the wall clock, in nanoseconds.
     pub const WALL_CLOCK_OFFSET: Slot = Slot(0);
-    /// The rate of short reads and writes on TCP sockets, per thousand.
+    /// The slot of the rate of short reads and writes on TCP sockets, per thousand.
     pub const SHORT_IO_RATE: Slot = Slot(1);
-    /// The seed of the shim's random number generator.
+    /// The slot of the seed of the shim's random number generator.
     pub const RANDOM_SEED: Slot = Slot(2);
 
-    /// Returns the slot of the error number (`errno`) that a system call fails with. A value of 0 injects no
-    /// failure.
+    /// Returns the slot of the error number (`errno`) that a system call fails with.
+    ///
+    /// While the slot holds 0, no call fails.
     pub const fn error_of(call: SystemCall) -> Slot {
         Slot(FIRST_CALL_SLOT + SLOTS_PER_CALL * call as usize)
     }
@@ -68,7 +69,7 @@
     Receive,
     /// `send` on a TCP socket
     Send,
-    /// `open`
+    /// `open64`
     Open,
     /// `write` to standard error
     LogWrite,
