--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 use std::sync::{Mutex, OnceLock, PoisonError};
 
-/// The rates in the control file are per thousand.
+/// The denominator of the rates in the control file, which are per thousand.
 const RATE_DENOMINATOR: usize = 1000;
 
 /// The mapped control file and the random number generator that decides which calls are affected.
@@ -31,13 +31,13 @@
         self.slots[slot.index()].load(Ordering::Relaxed)
     }
 
-    /// Returns the error to fail this call with, or `None` if the call is to be made.
+    /// Returns the error that a call is to fail with, or `None` if the call is to be made.
     pub(crate) fn injected_error(&self, call: SystemCall) -> Option<c_int> {
         let error = self.read(Slot::error_of(call));
         (error != 0 && self.should_inject(Slot::failure_rate_of(call))).then_some(error as c_int)
     }
 
-    /// Decides at random whether to inject an event whose rate is in the slot `rate`.
+    /// Decides at random whether to inject a fault whose rate, per thousand, is in the slot `rate`.
     pub(crate) fn should_inject(&self, rate: Slot) -> bool {
         let rate = self.read(rate);
         rate > 0 && (self.random_below(RATE_DENOMINATOR) as i64) < rate
@@ -56,7 +56,7 @@
 fn map_control_file() -> Option<Control> {
     let path = std::env::var_os(CONTROL_VARIABLE)?;
     let path = CString::new(path.as_bytes()).ok()?;
-    // SAFETY: the path ends with a zero byte; the mapping is as long as the file, is never unmapped, and is
+    // SAFETY: the path ends with a zero byte. The mapping is as long as the file, is never unmapped, and is
     // accessed only through atomics.
     unsafe {
         let file = libc::syscall(
--- a/crates/fault-shim/src/injection.rs
+++ b/crates/fault-shim/src/injection.rs
@@ -1,10 +1,11 @@
-//! Helpers of the interposed functions, which fail a call or shorten its transfer.
+//! Helpers that the interposed functions use to fail a call or to shorten its transfer.
 
 use crate::control::control;
 use fault_control::{Slot, SystemCall};
 use libc::{c_int, c_long, size_t, socklen_t};
 
-/// Fails with the injected error if one is due for this call, and makes the system call otherwise.
+/// Makes a system call, unless an error is to be injected into it: then the call is not made and fails with
+/// that error.
 pub(crate) fn fail_or_call(call: SystemCall, make_call: impl FnOnce() -> c_long) -> c_long {
     match injected_error(call) {
         Some(error) => fail(error),
@@ -12,7 +13,8 @@
     }
 }
 
-/// Does the same as [`fail_or_call`], but fails only calls on TCP sockets.
+/// Makes a system call on a descriptor like [`fail_or_call`], but injects errors only into calls on TCP
+/// sockets.
 pub(crate) fn fail_or_call_on_tcp(
     call: SystemCall,
     descriptor: c_int,
@@ -24,8 +26,9 @@
     }
 }
 
-/// Returns how many of the `length` bytes that the caller asked for to transfer: fewer if a short read or
-/// write is due, but at least one.
+/// Returns how many of the `length` requested bytes a call transfers.
+///
+/// If a short read or write is to be injected, the number is random: at least one, and less than `length`.
 pub(crate) fn transfer_length(descriptor: c_int, length: size_t) -> size_t {
     let Some(control) = control() else {
         return length;
@@ -50,7 +53,7 @@
 
 /// Returns whether a descriptor is a TCP socket over IPv4, as opposed to a pipe inside the process.
 ///
-/// It compares the address family only.
+/// The function takes every IPv4 socket for a TCP socket, because it checks only the address family.
 fn is_tcp(descriptor: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -4,9 +4,9 @@
 //! The faults are steps of the wall clock, system calls that fail with documented errors, and short reads and
 //! writes.
 //!
-//! The library maps the control file, whose layout [`fault_control`] defines, to learn which faults to
-//! inject. Without that file every call passes unchanged. Each function here interposes the C library's
-//! function of the same name and makes the system call itself, so that it needs no lookup of the original.
+//! The library reads the faults to inject from the control file, whose layout [`fault_control`] defines.
+//! Without that file every call is made unchanged. Each function here interposes the C library's function of
+//! the same name and makes the system call itself, so that it does not have to look up the original function.
 
 mod control;
 mod injection;
@@ -34,7 +34,7 @@
         return result;
     }
     let offset = control().map_or(0, |control| control.read(Slot::WALL_CLOCK_OFFSET));
-    // SAFETY: the call has succeeded, so the pointer is valid.
+    // SAFETY: the system call has succeeded, so the pointer is valid.
     let time = unsafe { &mut *time };
     let nanoseconds = time.tv_sec * NANOSECONDS_PER_SECOND + time.tv_nsec + offset;
     time.tv_sec = nanoseconds.div_euclid(NANOSECONDS_PER_SECOND);
