--- a/crates/fault-soak/src/environment/client/connection.rs
+++ b/crates/fault-soak/src/environment/client/connection.rs
@@ -15,7 +15,7 @@
 
 /// Range of the pause between two actions, in milliseconds.
 const PAUSES_MS: RangeInclusive<u64> = 20..=160;
-/// Range of the timeout of a request, as a percentage of the longest deadline.
+/// Range of the timeout of a request, as a percentage of the longest deadline of the deployment.
 const TIMEOUTS_PERCENT: RangeInclusive<u32> = 15..=100;
 /// Percentage of connections that ignore GOAWAY even without a fault.
 const IGNORES_GO_AWAY_PERCENT: u8 = 40;
@@ -42,11 +42,11 @@
     output: OwnedWriteHalf,
     next_stream: u32,
     requests_left: u32,
-    /// Whether the client keeps sending requests after a GOAWAY, until the connection is closed.
+    /// Whether the client goes on sending requests on the connection after a GOAWAY.
     always_ignores_go_away: bool,
 }
 
-/// The next action of a client on a connection.
+/// The action that a client takes next on a connection.
 enum Action {
     SendRequest,
     CancelRequest,
@@ -58,7 +58,7 @@
 }
 
 impl ClientConnection {
-    /// Takes over a connection and starts a task that reads from it.
+    /// Creates the client side of a connection and starts a task that reads from it.
     pub(super) fn start(
         clients: &Arc<Clients>,
         incarnation: Incarnation,
@@ -173,7 +173,7 @@
 
     /// Closes the connection and records its requests in flight as cancelled.
     ///
-    /// Records none if the connection was closed before.
+    /// Records nothing if the connection has already been closed.
     fn abort(self) {
         let abandoned = self.state.take_in_flight();
         let was_closed_before = self.state.close();
--- a/crates/fault-soak/src/environment/client/connection_state.rs
+++ b/crates/fault-soak/src/environment/client/connection_state.rs
@@ -1,4 +1,4 @@
-//! The state that the sender and the reader of a client connection share.
+//! The state that the sending and the reading side of a client connection share.
 
 use super::Clients;
 use crate::environment::switches::ClientSwitches;
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// The shared state of the sender and the reader of a client connection.
+/// The state that the sending and the reading side of a client connection share.
 #[derive(Debug)]
 pub(super) struct ConnectionState {
     pub(super) clients: Arc<Clients>,
@@ -51,14 +51,14 @@
         self.in_flight().remove(&stream)
     }
 
-    /// Removes an arbitrary request and returns it with its stream id.
+    /// Removes an arbitrary request in flight and returns it with its stream id.
     pub(super) fn remove_any_in_flight(&self) -> Option<(u32, RequestId)> {
         let mut in_flight = self.in_flight();
         let stream = in_flight.keys().next().copied()?;
         Some((stream, in_flight.remove(&stream)?))
     }
 
-    /// Removes and returns all requests.
+    /// Removes and returns all requests in flight.
     pub(super) fn take_in_flight(&self) -> Vec<RequestId> {
         std::mem::take(&mut *self.in_flight()).into_values().collect()
     }
--- a/crates/fault-soak/src/environment/client/mod.rs
+++ b/crates/fault-soak/src/environment/client/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients, which send requests and read responses, with the faults that their switches activate.
+//! Stand-in clients, which send requests and read responses. Their switches make them misbehave.
 
 mod connection;
 mod connection_state;
@@ -83,14 +83,14 @@
     }
 }
 
-/// Returns whether `time` has passed, which is never the case for `None`.
+/// Returns whether `time` has passed. `None` stands for a time that never passes.
 fn has_passed(time: Option<Instant>) -> bool {
     time.is_some_and(|time| time <= Instant::now())
 }
 
 /// Returns the body of a request, which is different for each request.
 ///
-/// It depends only on the request id, so that the reader of the response can compute the expected body.
+/// The body depends only on the request id, so that the reader of the response can compute the expected body.
 fn request_body(request: RequestId) -> Vec<u8> {
     let mut body = request.0.to_be_bytes().to_vec();
     let hash = request.0.wrapping_mul(0x9e37_79b9) >> 8;
--- a/crates/fault-soak/src/environment/discovery/events.rs
+++ b/crates/fault-soak/src/environment/discovery/events.rs
@@ -33,7 +33,7 @@
 
 /// Encodes an event as a frame of a watch.
 ///
-/// Returns no bytes for an IPv6 address, since the wire format has IPv4 addresses only.
+/// Returns no bytes for an event with an IPv6 address, since the wire format has IPv4 addresses only.
 pub(super) fn event_frame(number: u64, event: &EndpointEvent) -> Vec<u8> {
     let SocketAddr::V4(address) = event.address else {
         return Vec::new();
@@ -63,7 +63,7 @@
     bytes
 }
 
-/// Encodes all events for the configuration file.
+/// Encodes the events of the endpoint list for the configuration file.
 pub(super) fn known_events(events: &[EndpointEvent]) -> Value {
     let batch: Vec<Value> = events
         .iter()
--- a/crates/fault-soak/src/environment/discovery/mod.rs
+++ b/crates/fault-soak/src/environment/discovery/mod.rs
@@ -25,8 +25,8 @@
 #[derive(Debug)]
 pub(crate) struct Discovery {
     pub(crate) switches: DiscoverySwitches,
-    /// The addresses by scheduler index. They are separate so that the address of a connection identifies the
-    /// scheduler.
+    /// The addresses by scheduler index. Each scheduler has its own, so that the address of a connection
+    /// identifies the scheduler.
     addresses: Vec<[SocketAddr; ADDRESSES_PER_SCHEDULER]>,
     /// The number of open watches by scheduler index, over both addresses.
     watch_counts: Vec<AtomicUsize>,
@@ -90,7 +90,7 @@
     /// Publishes a new state of a worker's process.
     pub(crate) fn publish(&self, id: u32, address: SocketAddr, state: WorkerState) {
         let mut events = self.events();
-        // 0 stands for a process that started long ago.
+        // A process whose start was not published counts as started long ago, which 0 stands for.
         let earlier_event = events.iter().rev().find(|event| event.id == id);
         let started_at_ms = earlier_event.map_or(0, |event| event.started_at_ms);
         events.push(EndpointEvent {
@@ -101,7 +101,7 @@
         });
     }
 
-    /// Publishes a worker's process as ready and started just now.
+    /// Publishes a worker's process as ready, with the current time as its start time.
     pub(crate) fn publish_started(&self, id: u32, address: SocketAddr) {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         self.events().push(EndpointEvent {
--- a/crates/fault-soak/src/environment/discovery/watch.rs
+++ b/crates/fault-soak/src/environment/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The connection of a scheduler that watches the endpoint list.
+//! Watches: the connections on which schedulers receive the events of the endpoint list.
 
 use super::{AddressId, Discovery, events};
 use std::io;
@@ -15,7 +15,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Minimum interval between two polls. Data from the scheduler ends the wait for the next poll early.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// How long watches at the former address stay open after the service has switched to the other address.
+/// How long a watch stays open after the service has switched away from the address of the watch.
 const FORMER_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Serves a connection, or closes it at once if the service is down or the address is not the active one.
