--- a/crates/fault-soak/src/environment/scheduler/lifecycle.rs
+++ b/crates/fault-soak/src/environment/scheduler/lifecycle.rs
@@ -16,7 +16,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// How long a process may take to become ready. Page STANDING requires 10 s for nine of ten processes.
+/// How long a process may take to become ready. The page STANDING requires 10 s for nine of ten processes.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 const READINESS_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -101,7 +101,8 @@
     /// Sends SIGTERM and waits for the exit. Kills the process if it is still running after the termination
     /// timeout.
     ///
-    /// The scheduler stays in rotation for `rotation_delay`, as a load balancer notices the termination late.
+    /// The scheduler stays in rotation for `rotation_delay` after SIGTERM, because a load balancer does not
+    /// notice a termination at once.
     pub(crate) async fn terminate(&self, rotation_delay: Duration) {
         let Some(process) = self.process() else {
             return;
@@ -138,7 +139,7 @@
     }
 }
 
-/// Returns whether a scheduler reports in a readiness check that it is ready.
+/// Returns whether the scheduler at an address responds to a readiness check that it is ready.
 async fn reports_readiness(address: SocketAddr) -> bool {
     let check = async {
         let mut stream = TcpStream::connect(address).await?;
--- a/crates/fault-soak/src/environment/scheduler/log_reader.rs
+++ b/crates/fault-soak/src/environment/scheduler/log_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a scheduler's log, keeps its last lines, and detects reports of violations and panics.
+//! The reader of a scheduler's log, which keeps the last lines and detects reports of violations and panics.
 
 use super::Scheduler;
 use crate::recorder::{HealthProblem, Incarnation, ProcessEvent};
@@ -19,7 +19,7 @@
 }
 
 impl LogTail {
-    /// Appends a line, and drops the oldest one if there are already [`MAX_LINES`].
+    /// Appends a line, after dropping the oldest line if there are already [`MAX_LINES`].
     pub(super) fn push(&self, line: String) {
         let mut lines = self.lock();
         if lines.len() >= MAX_LINES {
@@ -39,7 +39,7 @@
 }
 
 impl Scheduler {
-    /// Reads the log of a process to its end, with a pause while the log stall fault is on.
+    /// Reads the log of a process to its end, and pauses while the switch `log_stall` is on.
     ///
     /// Each kept line is prefixed with the time at which it was read, in seconds since the start of the run.
     pub(super) async fn read_log(self: Arc<Scheduler>, incarnation: Incarnation, log: ChildStderr) {
--- a/crates/fault-soak/src/environment/scheduler/mod.rs
+++ b/crates/fault-soak/src/environment/scheduler/mod.rs
@@ -42,7 +42,7 @@
 pub(crate) struct Scheduler {
     pub(crate) index: usize,
     pub(crate) address: SocketAddr,
-    /// Locked by a fault while it ends the process and starts the next one.
+    /// Locked while a fault ends the process and starts the next one.
     pub(crate) lifecycle: tokio::sync::Mutex<()>,
     pub(crate) log_stall: FaultSwitch,
     /// Whether new clients connect to this scheduler, as a load balancer would direct them.
@@ -55,7 +55,7 @@
     control_file: File,
     log_tail: LogTail,
     launch: LaunchOptions,
-    /// How long after SIGTERM a process that is still running is killed.
+    /// How long after SIGTERM a process is killed if it is still running.
     termination_timeout: Duration,
     recorder: Arc<Recorder>,
 }
@@ -169,7 +169,8 @@
 
     /// Sends SIGHUP for a replaced configuration file, immediately or as soon as the process is ready.
     ///
-    /// A process that is not ready may not handle signals yet, and may have read the previous configuration.
+    /// A process that is not ready may not handle signals yet, although it may already have read the previous
+    /// configuration.
     pub(crate) fn request_reload(&self) {
         self.reload_is_due.store(true, Ordering::SeqCst);
         self.reload_if_due();
--- a/crates/fault-soak/src/environment/scheduler/process.rs
+++ b/crates/fault-soak/src/environment/scheduler/process.rs
@@ -12,7 +12,7 @@
     pub(super) incarnation: Incarnation,
     pid: Pid,
     is_ready: AtomicBool,
-    /// Whether this program has terminated or killed the process.
+    /// Whether this program has sent the process SIGTERM or SIGKILL.
     exit_was_requested: AtomicBool,
     has_exited: AtomicBool,
 }
--- a/crates/fault-soak/src/environment/worker/mod.rs
+++ b/crates/fault-soak/src/environment/worker/mod.rs
@@ -1,5 +1,4 @@
-//! Stand-in workers: node agents that simulate the execution of requests, with the faults that their switches
-//! activate.
+//! Stand-in workers: node agents that simulate the execution of requests. Their switches make them misbehave.
 
 mod protocol;
 
@@ -26,11 +25,12 @@
 const LOAD_TIME: Duration = Duration::from_millis(30);
 /// Delay between a response and its duplicate.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(5);
-/// How long a fault may still delay messages after it has ended.
+/// How long after its end a fault may still delay messages.
 const FAULT_SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Percentage of requests that get an error response while error responses are on.
+/// Percentage of requests that get an error response while the fault `error_responses` is on.
 const ERRORS_PERCENT: u8 = 60;
-/// Percentage of responses that are corrupt or sent twice while the respective fault is on.
+/// Percentage of responses that are corrupt, or are sent twice, while the fault `corrupt_responses` or
+/// `duplicate_responses` is on.
 const BAD_RESPONSES_PERCENT: u8 = 30;
 
 /// A stand-in worker. Schedulers connect to it through its proxy.
@@ -150,7 +150,7 @@
     }
 
     fn begin_load(self: Arc<Worker>, id: CorrelationId, replicas: Value, output: Output) {
-        // A load order for no replicas is a query and not new work.
+        // A load order for 0 replicas is a query and not new work.
         let is_new_work = replicas.as_u64().is_some_and(|count| count > 0);
         if is_new_work {
             self.recorder.record(Event::LoadOrderReceived {
@@ -173,7 +173,7 @@
 
 /// Writes a message as one line.
 ///
-/// Write errors are ignored, since the read loop of the connection also detects that it is closed.
+/// Write errors are ignored, since the loop that reads from the connection also notices that it is closed.
 async fn write_line(output: &Mutex<OwnedWriteHalf>, message: &Value) {
     let line = format!("{message}\n");
     let _ = output.lock().await.write_all(line.as_bytes()).await;
--- a/crates/fault-soak/src/environment/worker/protocol.rs
+++ b/crates/fault-soak/src/environment/worker/protocol.rs
@@ -1,6 +1,6 @@
 //! The node agent side of the line protocol between schedulers and node agents.
 //!
-//! It does not share code with the scheduler's codec, so that a bug in that codec shows up in a run.
+//! The module shares no code with the scheduler's codec, so that a bug in that codec shows up in a run.
 
 use crate::request::RequestId;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub(super) enum Command {
     Run(RunCommand),
-    /// A load order for a number of replicas of a function, where 0 unloads the function.
+    /// A load order for a number of replicas of a function. With 0 replicas it is a query and loads nothing.
     Load {
         id: CorrelationId,
         replicas: Value,
@@ -109,7 +109,8 @@
     }
 }
 
-/// Returns the response to an attempt. A successful response repeats the content of the command.
+/// Returns the response to a command to execute an attempt. A successful response repeats the content of the
+/// command.
 pub(super) fn run_response(run: &RunCommand, status: Status) -> Value {
     let mut response = json!({"verb": status.verb(), "rid": run.id});
     if status == Status::Ok {
@@ -118,12 +119,12 @@
     response
 }
 
-/// Returns the response to a load order.
+/// Returns the response to a load order that the worker accepts.
 pub(super) fn load_response(id: &CorrelationId, replicas: &Value) -> Value {
     json!({"verb": "200", "rid": id, "attrs": {"replicas": replicas}})
 }
 
-/// Returns the response of a draining worker to a load order.
+/// Returns the response to a load order that a draining worker rejects.
 pub(super) fn load_rejection(id: &CorrelationId) -> Value {
     json!({"verb": Status::AtCapacity.verb(), "rid": id, "attrs": {"replicas": 0}})
 }
