--- a/crates/fault-soak/src/environment/frame_codec.rs
+++ b/crates/fault-soak/src/environment/frame_codec.rs
@@ -1,6 +1,6 @@
 //! The client side of the frame protocol (page PROTOCOL).
 //!
-//! It does not share code with the scheduler's codec, so that a bug in that codec shows up in a run.
+//! The module shares no code with the scheduler's codec, so that a bug in that codec shows up in a run.
 
 use crate::request::{RequestClass, RequestId, ResponseStatus};
 use anyhow::{Result, bail, ensure};
@@ -17,13 +17,13 @@
 // Status codes of responses.
 const CODE_SERVED: u8 = 79;
 const CODE_REJECTED: u8 = 66;
-/// Largest accepted value of a frame's length field, in bytes.
+/// Maximum accepted value of a frame's length field, in bytes.
 const MAX_LENGTH: usize = 262_144;
 /// Number of bytes between a frame's length field and its payload: the frame type and the stream id.
 const HEADER_LENGTH: usize = 5;
 /// The stream id of a readiness check.
 const READINESS_STREAM: u32 = 1;
-/// A malformed frame: its length field is smaller than a header.
+/// A malformed frame, whose length field is smaller than the length of a header.
 pub(super) const MALFORMED_FRAME: [u8; 4] = [0; 4];
 
 /// A request frame that a client sends.
--- a/crates/fault-soak/src/environment/health.rs
+++ b/crates/fault-soak/src/environment/health.rs
@@ -1,4 +1,4 @@
-//! Health checks of idle schedulers.
+//! Checks of idle schedulers: their file descriptors, their threads and their watch of the endpoint list.
 //!
 //! A failed check is recorded as [`ProcessEvent::Unhealthy`].
 
@@ -8,14 +8,16 @@
 
 /// Maximum number of threads of a scheduler: its event loop and its log writer.
 const MAX_THREADS: usize = 2;
-/// Maximum number of file descriptors of a scheduler without clients, excluding connections to workers.
+/// Maximum number of file descriptors of an idle scheduler, excluding connections to workers.
 const BASE_DESCRIPTORS: usize = 40;
 /// Maximum number of connections from a scheduler to one worker.
 const CONNECTIONS_PER_WORKER: usize = 16;
 
 impl Environment {
-    /// Checks that running schedulers without clients hold few file descriptors and threads, and watch the
-    /// endpoint list.
+    /// Checks that each running scheduler holds few file descriptors and threads, and watches the endpoint
+    /// list.
+    ///
+    /// Call this function after all clients have stopped, so that the schedulers are idle.
     pub(crate) fn check_idle_schedulers(&self) {
         for scheduler in self.running_schedulers() {
             self.check_resources(scheduler);
--- a/crates/fault-soak/src/environment/listener.rs
+++ b/crates/fault-soak/src/environment/listener.rs
@@ -1,4 +1,4 @@
-//! Listening TCP sockets of the stand-ins.
+//! The TCP listeners of the stand-ins.
 
 use std::future::Future;
 use std::io;
--- a/crates/fault-soak/src/environment/mod.rs
+++ b/crates/fault-soak/src/environment/mod.rs
@@ -1,14 +1,14 @@
 //! The test environment of a run: real scheduler processes, and stand-ins for everything they talk to.
 //!
-//! The environment owns the processes, sockets and tasks. Faults are injected into it, and what happens in it
-//! is recorded.
+//! The environment owns the processes, sockets and tasks. The faults act on it, and its clients, workers and
+//! processes record what they observe.
 //!
 //! - [`scheduler`] manages a scheduler under test: its files, its log and its process.
 //! - [`client`], [`worker`] and [`discovery`] are the stand-ins that the schedulers talk to.
-//! - [`proxy`] is the network between the schedulers and a worker.
+//! - [`proxy`] stands in for the network between the schedulers and a worker.
 //! - [`switches`] turns faults of the stand-ins on and off.
 //! - [`settings`] generates the configuration of the schedulers.
-//! - [`health`] checks idle schedulers at the end of a run.
+//! - [`health`] checks the idle schedulers at the end of a run.
 
 mod client;
 mod discovery;
@@ -38,7 +38,7 @@
 /// Number of additional clients that [`Environment::run_crowd`] starts.
 const CROWD_CLIENTS: usize = 30;
 
-/// The number of processes and stand-ins in an environment.
+/// The numbers of schedulers, stand-in workers and stand-in clients in an environment.
 #[derive(Clone, Debug)]
 pub(crate) struct EnvironmentSize {
     pub(crate) schedulers: usize,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Runs [`CROWD_CLIENTS`] additional clients against one scheduler for the given time.
+    /// Lets [`CROWD_CLIENTS`] additional clients send requests to one scheduler for the given time.
     pub(crate) async fn run_crowd(&self, scheduler: &Arc<Scheduler>, length: Duration) {
         let ends_at = Instant::now() + length;
         let crowd: Vec<_> = (0..CROWD_CLIENTS)
@@ -220,7 +220,7 @@
     index as u32 + 1
 }
 
-/// Returns a free loopback address, which all incarnations of a scheduler listen on.
+/// Returns a free loopback address, on which all incarnations of a scheduler are to listen.
 fn free_address(seed: u64, index: usize) -> Result<SocketAddr> {
     let host = Ipv4Addr::new(127, 64 + (seed % 128) as u8, 1 + index as u8, 1);
     let listener = TcpListener::bind((host, 0))?;
--- a/crates/fault-soak/src/environment/proxy.rs
+++ b/crates/fault-soak/src/environment/proxy.rs
@@ -15,12 +15,15 @@
 const BUFFER_BYTES: usize = 16 << 10;
 /// Exclusive upper bound of the random delay of one buffer, in milliseconds.
 const MAX_DELAY_MS: u64 = 60;
-/// Maximum number of bytes per write while fragmentation is on.
+/// Maximum number of bytes per write while the fault `fragmentation` is on.
 const MAX_FRAGMENT_BYTES: usize = 40;
-/// Percentage of buffers that are dropped together with their connection while resets are on.
+/// Percentage of buffers that are dropped, together with their connection, while the fault `resets` is on.
 const RESETS_PERCENT: u8 = 20;
 
-/// Opens the worker's public address and forwards its connections to `upstream` until the runtime shuts down.
+/// Listens on a free address for the worker, and forwards connections to `upstream` until the runtime shuts
+/// down.
+///
+/// Returns the address.
 pub(super) async fn listen(worker: &Arc<Worker>, upstream: SocketAddr) -> io::Result<SocketAddr> {
     let (listener, address) = listener::bind().await?;
     let worker = Arc::clone(worker);
@@ -30,7 +33,7 @@
     Ok(address)
 }
 
-/// Forwards data in both directions until either side closes the connection, a fault resets it, or the
+/// Forwards bytes in both directions until either side closes the connection, a fault resets it, or the
 /// worker's process exits.
 async fn forward(worker: Arc<Worker>, stream: TcpStream, upstream: SocketAddr) {
     if worker.is_down() {
@@ -51,7 +54,7 @@
     }
 }
 
-/// Copies data in one direction until either side closes the connection or a fault resets it.
+/// Copies bytes in one direction until either side closes the connection or a fault resets it.
 async fn copy(
     switches: &WorkerSwitches,
     mut input: impl AsyncRead + Unpin,
@@ -76,7 +79,7 @@
     }
 }
 
-/// Writes all bytes, a few at a time while fragmentation is on.
+/// Writes all bytes, a few at a time while the fault `fragmentation` is on.
 async fn write(
     switches: &WorkerSwitches,
     mut bytes: &[u8],
--- a/crates/fault-soak/src/environment/settings.rs
+++ b/crates/fault-soak/src/environment/settings.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The grace period for a draining worker. It starts when a scheduler is notified of the drain, and after it
-/// the scheduler sends the worker no new work.
+/// The grace period for a draining worker. It starts when a scheduler is notified of the drain; when it has
+/// passed, the scheduler sends the worker no new work.
 pub(crate) const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// The time during which workers discard duplicates of a request with an idempotency key.
 pub(crate) const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(1_500);
@@ -14,9 +14,9 @@
 pub(crate) const MAX_ATTEMPTS: usize = 4;
 /// The longest request deadlines of the tested deployments, in milliseconds. The seed of a run selects one.
 const LONGEST_DEADLINES_MS: [u64; 4] = [2_000, 400, 3_500, 1_000];
-/// Cap on the longest deadline in the calculation of the termination timeout (page PROTOCOL).
+/// The largest value of the longest deadline that counts in the termination timeout (page PROTOCOL).
 const MAX_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// Time that the termination timeout adds to the longest deadline (page PROTOCOL).
+/// The time by which the termination timeout exceeds the longest deadline (page PROTOCOL).
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// The latency objective of a request class, as a fraction of its deadline.
 const OBJECTIVE_FRACTION: f64 = 0.3;
@@ -28,7 +28,7 @@
     Duration::from_millis(LONGEST_DEADLINES_MS[place as usize])
 }
 
-/// Returns how long after SIGTERM a process that is still running is killed. This is the shortest time that
+/// Returns how long after SIGTERM a process is killed if it is still running. This is the shortest time that
 /// the page PROTOCOL allows.
 pub(super) fn termination_timeout(longest_deadline: Duration) -> Duration {
     longest_deadline.min(MAX_LONGEST_DEADLINE) + KILL_DELAY
--- a/crates/fault-soak/src/environment/switches.rs
+++ b/crates/fault-soak/src/environment/switches.rs
@@ -7,7 +7,7 @@
 /// How often a waiting task polls a switch.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A switch that several faults can activate at the same time. It is on while at least one of them is active.
+/// A switch that several faults can activate at the same time, and that is on while any of them is active.
 #[derive(Debug, Default)]
 pub(crate) struct FaultSwitch {
     active_faults: AtomicU64,
@@ -34,7 +34,7 @@
         self.active_faults.load(Ordering::Relaxed) > 0
     }
 
-    /// Returns whether any fault is active or was active within the last `span`.
+    /// Returns whether any fault is active at the time `now` or was active within the `span` before it.
     pub(crate) fn was_on(&self, now: Duration, span: Duration) -> bool {
         let last_change = self.last_change_ms.load(Ordering::Relaxed);
         self.is_on() || last_change > 0 && now.as_millis() as u64 <= last_change + span.as_millis() as u64
@@ -48,7 +48,7 @@
     }
 }
 
-/// Faults of one worker and of the network between it and the schedulers.
+/// The switches for faults of one worker and of the network between it and the schedulers.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerSwitches {
     pub(crate) stall: FaultSwitch,
@@ -59,9 +59,9 @@
     pub(crate) fragmentation: FaultSwitch,
     pub(crate) resets: FaultSwitch,
     pub(crate) black_hole: FaultSwitch,
-    /// The worker's process completes the work it already has and rejects new work.
+    /// Whether the worker's process rejects new work, while it completes the work that it already has.
     pub(crate) process_is_draining: AtomicBool,
-    /// The worker's process has exited and no new process has taken over its address yet.
+    /// Whether the worker's process has exited and no new process has taken over its address yet.
     pub(crate) process_is_down: AtomicBool,
 }
 
@@ -74,14 +74,14 @@
     }
 }
 
-/// Faults of the discovery service.
+/// The switches for faults of the discovery service.
 #[derive(Debug, Default)]
 pub(crate) struct DiscoverySwitches {
     pub(crate) down: FaultSwitch,
     pub(crate) black_hole: FaultSwitch,
 }
 
-/// Faults of the clients, which affect all clients of a run.
+/// The switches for faults of the clients, each of which affects all clients of a run.
 #[derive(Debug, Default)]
 pub(crate) struct ClientSwitches {
     pub(crate) abandon_requests: FaultSwitch,
