--- a/crates/fault-soak/src/faults/client_connections.rs
+++ b/crates/fault-soak/src/faults/client_connections.rs
@@ -1,4 +1,4 @@
-//! Client connections that send nothing.
+//! Idle client connections, on which no request is sent.
 
 use super::schedule::PlannedFault;
 use crate::environment::Scheduler;
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The number of connections that a fault opens.
+/// The number of idle connections that a fault opens.
 const IDLE_CONNECTIONS: usize = 120;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
--- a/crates/fault-soak/src/faults/discovery_outage.rs
+++ b/crates/fault-soak/src/faults/discovery_outage.rs
@@ -1,6 +1,6 @@
 //! Outages of the discovery service that outlast the maximum notification delay.
 //!
-//! After that delay a scheduler counts as notified of a change even if the change has not reached it.
+//! After that delay a scheduler counts as notified of a change, even if it has not received the change.
 
 use super::schedule::PlannedFault;
 use super::{activate, worker_replacement};
@@ -9,19 +9,19 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The delays of the first drain from the start of the outage, in milliseconds. The drain starts early in the
-/// outage.
+/// The range of the time between the start of the outage and the first drain, in milliseconds. The first
+/// drain starts early in the outage.
 const EARLY_DRAIN_DELAYS_MS: RangeInclusive<u64> = 20..=800;
-/// The delays of the second drain from the start of the outage, in milliseconds. The drain starts about when
-/// the first one counts as notified, or later.
+/// The range of the time between the start of the outage and the second drain, in milliseconds. The second
+/// drain starts about when the schedulers count as notified of the first one, or later.
 const LATE_DRAIN_DELAYS_MS: RangeInclusive<u64> = 3_500..=5_500;
-/// The time for which the workers go on draining after the end of the outage.
+/// How long a worker goes on draining after the end of the outage.
 const DRAIN_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
 /// Makes the discovery service unreachable and begins to drain two workers during the outage.
 ///
-/// The service either closes its connections or leaves them open without sending anything. The workers stay
-/// up until the outage has ended.
+/// The service either closes its connections or leaves them open without sending anything. The workers'
+/// processes run until the outage has ended.
 pub(super) async fn disconnect_and_drain(environment: &Environment, fault: &PlannedFault) {
     let switches = &environment.discovery.switches;
     let switch = if fault.variant.is_multiple_of(2) {
--- a/crates/fault-soak/src/faults/kind.rs
+++ b/crates/fault-soak/src/faults/kind.rs
@@ -1,4 +1,4 @@
-//! The fault kinds. The first line of a kind's comment is its description on the command line.
+//! The fault kinds. The first sentence of a kind's comment is its description on the command line.
 
 use crate::recorder::DiscoveryEffect;
 use clap::ValueEnum;
@@ -6,7 +6,7 @@
 
 /// A kind of fault.
 ///
-/// A schedule depends on the order of the kinds, so a new one goes to the end.
+/// The schedule of a seed depends on the order of the kinds, so new kinds are added at the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, ValueEnum)]
 pub(crate) enum FaultKind {
     /// Sends SIGTERM to a scheduler and starts it again after it has exited.
@@ -15,7 +15,7 @@
     Kill,
     /// Moves the discovery service to its other address and sends SIGHUP to every scheduler.
     Reload,
-    /// Does the same as reload, but one scheduler's configuration file is truncated and completed later.
+    /// Acts like `reload`, but truncates one scheduler's configuration file and completes it later.
     ReloadTruncatedConfig,
     /// Pauses a scheduler's process with SIGSTOP and resumes it with SIGCONT.
     Pause,
@@ -67,8 +67,8 @@
 
 /// The range of the duration of most faults, in milliseconds.
 const DURATIONS_MS: RangeInclusive<u64> = 200..=1_500;
-/// The range of the duration of a long discovery outage, in milliseconds. It is longer than the maximum
-/// notification delay (4 s) and the grace period of a drain together.
+/// The range of the duration of a long discovery outage, in milliseconds. Each duration is longer than the
+/// maximum notification delay (4 s) and the grace period of a drain together.
 const LONG_OUTAGE_DURATIONS_MS: RangeInclusive<u64> = 6_000..=9_000;
 
 impl FaultKind {
--- a/crates/fault-soak/src/faults/mod.rs
+++ b/crates/fault-soak/src/faults/mod.rs
@@ -17,7 +17,7 @@
 use crate::environment::{Environment, FaultSwitch};
 use tokio::time::sleep;
 
-/// Injects a fault and returns when it has ended.
+/// Injects a fault and waits until the fault has ended.
 pub(crate) async fn inject(environment: &Environment, fault: &PlannedFault) {
     let scheduler = environment.scheduler(fault.target);
     let worker = environment.worker(fault.target);
--- a/crates/fault-soak/src/faults/reload.rs
+++ b/crates/fault-soak/src/faults/reload.rs
@@ -12,7 +12,7 @@
 /// The longest time for which a configuration file stays truncated.
 const MAX_TRUNCATED_TIME: Duration = Duration::from_millis(400);
 
-/// Moves the discovery service and makes every scheduler reload, the targeted one first.
+/// Moves the discovery service and makes every scheduler reload, the scheduler `target` first.
 pub(super) fn reload(environment: &Environment, target: &Arc<Scheduler>) {
     environment.discovery.switch_address();
     let others = environment
@@ -25,10 +25,10 @@
     }
 }
 
-/// Moves the discovery service and makes the targeted scheduler reload while its configuration file is
-/// truncated.
+/// Moves the discovery service and makes every scheduler reload, the scheduler `target` while its
+/// configuration file is truncated.
 ///
-/// The file is completed without another SIGHUP: the scheduler has to detect the change by itself.
+/// The file is completed without another SIGHUP, so that the scheduler has to detect the change by itself.
 pub(super) async fn reload_truncated(
     environment: &Environment,
     target: &Arc<Scheduler>,
--- a/crates/fault-soak/src/faults/schedule.rs
+++ b/crates/fault-soak/src/faults/schedule.rs
@@ -1,4 +1,4 @@
-//! Generates the schedule of a seed: which faults are injected, and when.
+//! The schedule of a seed: which faults are injected, and when.
 
 use super::kind::FaultKind;
 use super::system_call_failure::SystemCallFailure;
@@ -8,20 +8,21 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// The range of the number of faults in a group, which start at about the same time.
+/// The range of the number of faults in a group. The faults of a group start at about the same time.
 const GROUP_SIZES: RangeInclusive<usize> = 2..=3;
 /// The range of the time between the starts of two groups, in milliseconds.
 const GROUP_INTERVALS_MS: RangeInclusive<u64> = 500..=1_300;
 /// The range of the delay of a fault from the start of its group, in milliseconds.
 const START_OFFSETS_MS: RangeInclusive<u64> = 0..=250;
-/// The exclusive upper bound of a target, which is later reduced modulo the number of schedulers or workers.
+/// The exclusive upper bound of a target. A target is reduced modulo the number of schedulers or workers when
+/// its fault is injected.
 const TARGET_BOUND: usize = 1000;
 
 /// A fault of a schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedFault {
     pub(crate) kind: FaultKind,
-    /// The index of the scheduler or worker that is affected, modulo their number.
+    /// The index of the affected scheduler or worker, to be reduced modulo the number of them.
     pub(crate) target: usize,
     pub(crate) starts_at: Duration,
     pub(crate) duration: Duration,
@@ -35,7 +36,7 @@
         self.starts_at + self.duration
     }
 
-    /// Returns whether both faults are active at some time.
+    /// Returns whether there is a time at which both faults are active.
     pub(crate) fn overlaps(&self, other: &PlannedFault) -> bool {
         other.starts_at < self.ends_at() && self.starts_at < other.ends_at()
     }
@@ -58,7 +59,7 @@
 
 /// Returns the faults of a seed whose groups start within `length`, in the order of their starts.
 ///
-/// They are of the given kinds, or of all kinds if `kinds` is empty.
+/// The faults are of the given kinds, or of any kind if `kinds` is empty.
 pub(crate) fn schedule(seed: u64, length: Duration, kinds: &[FaultKind]) -> Vec<PlannedFault> {
     let kinds = if kinds.is_empty() {
         FaultKind::value_variants()
@@ -82,7 +83,7 @@
 
 /// Generates a random fault.
 ///
-/// A schedule depends on the order in which the random numbers are drawn.
+/// The schedule of a seed depends on the order in which the random numbers are drawn.
 fn draw_fault(
     random: &mut Rng,
     kinds: &[FaultKind],
--- a/crates/fault-soak/src/faults/scheduler_process.rs
+++ b/crates/fault-soak/src/faults/scheduler_process.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The longest pause. It is shorter than the tolerance of the time limit that a worker is given (0.15 s).
+/// The longest pause. It is shorter than the tolerance for the time limit that a worker is given (0.15 s).
 const MAX_PAUSE: Duration = Duration::from_millis(100);
-/// The range of the time for which a terminated scheduler still gets new clients, in milliseconds.
+/// The range of the time for which a scheduler still gets new clients after SIGTERM, in milliseconds.
 const ROTATION_DELAYS_MS: RangeInclusive<u64> = 200..=400;
 /// The range of the time between two signals of a series, in milliseconds.
 const SIGNAL_INTERVALS_MS: RangeInclusive<u64> = 0..=120;
@@ -61,7 +61,7 @@
     restart(environment, scheduler).await;
 }
 
-/// Waits for the random time between two signals of a series.
+/// Waits for a random time between two signals of a series.
 async fn pause_between_signals() {
     sleep(Duration::from_millis(fastrand::u64(SIGNAL_INTERVALS_MS))).await;
 }
@@ -82,32 +82,32 @@
 
 /// Starts a scheduler with the current configuration.
 ///
-/// Errors are ignored here: the run reports a scheduler that does not become ready.
+/// Errors are ignored here. A process that starts but does not become ready is recorded as unhealthy.
 async fn restart(environment: &Environment, scheduler: &Arc<Scheduler>) {
     let _ = environment.write_config(scheduler);
     let _ = scheduler.start().await;
 }
 
-/// Pauses the process for the duration of the fault, or for [`MAX_PAUSE`] if that is shorter.
+/// Pauses the scheduler's process for the duration of the fault, or for [`MAX_PAUSE`] if that is shorter.
 pub(super) async fn pause(scheduler: &Scheduler, fault: &PlannedFault) {
     scheduler.signal(Signal::SIGSTOP);
     sleep(fault.duration.min(MAX_PAUSE)).await;
     scheduler.signal(Signal::SIGCONT);
 }
 
-/// Steps the wall clock, and steps it back when the fault ends.
+/// Steps the scheduler's wall clock, and steps it back when the fault ends.
 pub(super) async fn step_clock(scheduler: &Scheduler, fault: &PlannedFault) {
     let seconds = CLOCK_STEPS_S[fault.variant as usize % CLOCK_STEPS_S.len()];
     let nanoseconds = seconds * NANOSECONDS_PER_SECOND;
     set_slot_during(scheduler, fault, Slot::WALL_CLOCK_OFFSET, nanoseconds).await;
 }
 
-/// Injects short reads and writes.
+/// Injects short reads and writes into the scheduler for the duration of the fault.
 pub(super) async fn shorten_io(scheduler: &Scheduler, fault: &PlannedFault) {
     set_slot_during(scheduler, fault, Slot::SHORT_IO_RATE, SHORT_IO_PER_MILLE).await;
 }
 
-/// Injects failures into the system call that the fault's variant selects.
+/// Injects failures into the system call that the fault's variant selects, for the duration of the fault.
 pub(super) async fn fail_system_call(scheduler: &Scheduler, fault: &PlannedFault) {
     let failure = SystemCallFailure::of_variant(fault.variant);
     let rate = i64::from(failure.rate_per_mille);
--- a/crates/fault-soak/src/faults/system_call_failure.rs
+++ b/crates/fault-soak/src/faults/system_call_failure.rs
@@ -4,7 +4,7 @@
 use nix::errno::Errno;
 use std::fmt;
 
-/// A system call that fails with an error.
+/// A system call, the error with which it fails, and how often it fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SystemCallFailure {
     pub(crate) call: SystemCall,
@@ -21,10 +21,10 @@
     }
 }
 
-/// The failures to choose from. Their order determines the schedules.
+/// The failures that a fault can inject. The schedule of a seed depends on their number and order.
 ///
-/// `accept4` and `epoll_wait` never fail on every call, because no connection could be accepted or served in
-/// that time.
+/// `accept4` and `epoll_wait` fail only on some calls, because a scheduler on which every call failed could
+/// accept or serve no connection.
 const FAILURES: [SystemCallFailure; 17] = [
     failure(SystemCall::Accept, Errno::ECONNABORTED, 900),
     failure(SystemCall::Accept, Errno::ENFILE, 600),
--- a/crates/fault-soak/src/faults/worker_replacement.rs
+++ b/crates/fault-soak/src/faults/worker_replacement.rs
@@ -1,4 +1,4 @@
-//! Replaces a worker by another process at the same address.
+//! The replacement of a worker's process by another process at the same address.
 
 use crate::environment::{Environment, ListedWorker, WorkerState};
 use crate::recorder::Event;
@@ -7,13 +7,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// The range of the time for which a worker drains before its process exits, in milliseconds.
+/// The range of the time for which a worker drains before its process exits while there is no outage, in
+/// milliseconds.
 const DRAIN_TIMES_MS: RangeInclusive<u64> = 1_500..=6_000;
-/// The time between the exit of the old process and the start of the new one, in which nothing listens at the
-/// address.
+/// The time between the exit of the old process and the start of the new one, in which connections to the
+/// address are closed at once.
 const DOWNTIME: Duration = Duration::from_millis(300);
 
-/// Returns a random drain time for a worker that is replaced while there is no outage.
+/// Returns a random time for which a worker drains if it is replaced while there is no outage.
 pub(super) fn random_drain_time() -> Duration {
     Duration::from_millis(fastrand::u64(DRAIN_TIMES_MS))
 }
