--- a/crates/fault-soak/src/invariants/cancellation.rs
+++ b/crates/fault-soak/src/invariants/cancellation.rs
@@ -4,8 +4,8 @@
 use super::{Context, Invariant, SOCKET_TOLERANCE, Violation};
 use std::time::Duration;
 
-/// The time after the client has abandoned a request in which an attempt may still start (the operators'
-/// terms of 2026-12-02).
+/// How long after the client has abandoned a request an attempt may still start (operators' terms of
+/// 2026-12-02).
 const CANCELLATION_TOLERANCE: Duration = Duration::from_millis(100);
 
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
--- a/crates/fault-soak/src/invariants/draining.rs
+++ b/crates/fault-soak/src/invariants/draining.rs
@@ -7,12 +7,12 @@
 use crate::timer_lag::TimerLag;
 use std::time::Duration;
 
-/// The maximum notification delay: a scheduler counts as notified of a change this long after it, even if
-/// discovery fails (page TERMS).
+/// The maximum notification delay. When this time has passed since a change, a scheduler counts as notified
+/// of the change, even if discovery fails (page TERMS).
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 
 /// The time that a change takes to reach every scheduler that watches the endpoint list. An outage that
-/// begins earlier may prevent the notification.
+/// begins within this time after a change may prevent the notification.
 const DELIVERY_TIME: Duration = Duration::from_millis(50);
 /// The time that the schedulers take to reconnect to discovery after an outage.
 const RECONNECT_TIME: Duration = Duration::from_millis(600);
@@ -37,11 +37,11 @@
     dispatch.is_undelayed && dispatch.at > limit && !was_ready_again
 }
 
-/// Returns when every scheduler counts as notified of a change of the endpoint list, considering the faults
-/// up to a dispatch.
+/// Returns when every scheduler counts as notified of a change of the endpoint list, in view of the faults up
+/// to a dispatch.
 ///
-/// For a change that is published during an outage, the delay counts from the start of the outage: if the
-/// change is published later than [`MAX_NOTIFICATION_DELAY`] after that start, it counts as notified at once.
+/// For a change that is published during an outage, [`MAX_NOTIFICATION_DELAY`] counts from the start of the
+/// outage. If it has passed when the change is published, the schedulers count as notified at once.
 fn notified_at(history: &RunHistory, changed_at: Duration, dispatched_at: Duration) -> Duration {
     let mut outages = history.outages.iter().rev();
     let outage = outages.find(|outage| {
--- a/crates/fault-soak/src/invariants/final_response.rs
+++ b/crates/fault-soak/src/invariants/final_response.rs
@@ -4,15 +4,15 @@
 use super::{Context, Invariant, Violation, response_deadline};
 use std::time::Duration;
 
-/// The time before the close of a connection in which a sent request is possibly not received (page
+/// How long before the close of a connection a request may be sent without the scheduler receiving it (page
 /// PROTOCOL).
 const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Checks that a request has a response if one is due.
+/// Checks that a request has a response if a response is due.
 ///
-/// None is due if the client abandoned the request, if the scheduler was killed before the response was due,
-/// if the request was sent within [`CLOSE_RACE_WINDOW`] before the close of its connection, or if the
-/// response was due after the end of the run.
+/// No response is due if the client abandoned the request, if the scheduler was killed before the response
+/// was due, if the request was sent within [`CLOSE_RACE_WINDOW`] before the close of its connection, or if
+/// the response would be due after the end of the run.
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
     let sent = request.sent?;
     if !request.responses.is_empty() || request.cancelled_at.is_some() {
--- a/crates/fault-soak/src/invariants/history.rs
+++ b/crates/fault-soak/src/invariants/history.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// The history of a run, as its records show it.
+/// The history of a run, derived from its records.
 #[derive(Debug, Default)]
 pub(super) struct RunHistory {
     requests: BTreeMap<RequestId, RequestHistory>,
@@ -23,11 +23,11 @@
     pub(super) dispatches: Vec<Dispatch>,
 }
 
-/// The history of one request, as its records show it.
+/// The history of one request, derived from the records of its run.
 #[derive(Clone, Debug)]
 pub(super) struct RequestHistory {
     pub(super) id: RequestId,
-    /// The request as sent, or `None` if the client has not written the complete request.
+    /// The request as its client sent it, or `None` if the client has not written the complete request.
     pub(super) sent: Option<SentRequest>,
     pub(super) responses: Vec<Response>,
     pub(super) cancelled_at: Option<Duration>,
@@ -69,11 +69,11 @@
     pub(super) is_undelayed: bool,
 }
 
-/// The period in which the endpoint list has a worker as draining or deleted.
+/// A period in which the endpoint list shows a worker as draining or deleted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     pub(super) started_at: Duration,
-    /// When the next process at the worker's address was ready; `None` if that has not happened.
+    /// When the next process at the worker's address was ready, or `None` if that has not happened.
     pub(super) ready_at: Option<Duration>,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Outage {
-    /// Returns whether the outage had begun at `at` and had not ended more than `span` earlier.
+    /// Returns whether, at the time `at`, the outage had begun and had not ended more than `span` before.
     pub(super) fn includes(&self, at: Duration, span: Duration) -> bool {
         let has_ended = self.active_faults == 0 && at > self.last_fault_ended_at + span;
         self.started_at <= at && !has_ended
--- a/crates/fault-soak/src/invariants/mod.rs
+++ b/crates/fault-soak/src/invariants/mod.rs
@@ -1,8 +1,8 @@
 //! The test oracle, which decides from the records of a run which invariants the schedulers have violated.
 //!
-//! It defines the invariants and their tolerances, one invariant in each module. It depends only on the
-//! guarantees in the pages and on what was observed from outside, not on the schedulers' code. It keeps no
-//! state between runs.
+//! The oracle defines the invariants and their tolerances, with one module for each invariant. It depends
+//! only on the guarantees in the pages and on what was observed from outside, not on the schedulers' code,
+//! and it keeps no state between runs.
 //!
 //! [`check`] groups the records by what they concern ([`history`]) and then checks each request, each worker
 //! and each process. [`check_recovery`] is separate because it needs a run whose clients go on after the last
@@ -35,10 +35,10 @@
 use history::{RequestHistory, RunHistory};
 use std::time::Duration;
 
-/// The tolerance that is added to every time limit that is observed on sockets (page PROTOCOL).
+/// The tolerance for the delay of observations on sockets, which is added to time bounds (page PROTOCOL).
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// The data of a run, beside the request itself, that the check of a request uses.
+/// The data of a run that the checks of its requests use.
 struct Context<'a> {
     history: &'a RunHistory,
     timer_lag: &'a TimerLag,
--- a/crates/fault-soak/src/invariants/outage_requests.rs
+++ b/crates/fault-soak/src/invariants/outage_requests.rs
@@ -1,17 +1,17 @@
-//! Statistics of the requests that are sent while the discovery service is unreachable.
+//! Statistics of the requests that are sent while the endpoint list is stale because of a discovery outage.
 //!
-//! They are part of the report; no invariant depends on them.
+//! The statistics are part of the output; no invariant depends on them.
 
 use super::history::RunHistory;
 use crate::recorder::Record;
 use crate::request::ResponseStatus;
 use std::time::Duration;
 
-/// The time since the start of an outage after which the endpoint list alone does not permit new work: 4 s
-/// and the grace period (page PROTOCOL).
+/// How long after the start of an outage the endpoint list becomes stale, so that the list alone no longer
+/// permits new work: 4 s and the grace period (page PROTOCOL).
 const LIST_STALE_AFTER: Duration = Duration::from_millis(4_500);
 
-/// Counts of the requests that were sent late in outages.
+/// The number of requests that were sent while the endpoint list was stale, and how many of them were served.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct OutageRequestCounts {
     pub(crate) sent: usize,
--- a/crates/fault-soak/src/invariants/response_deadline.rs
+++ b/crates/fault-soak/src/invariants/response_deadline.rs
@@ -4,7 +4,7 @@
 use super::{Context, Invariant, SOCKET_TOLERANCE, Violation};
 use std::time::Duration;
 
-/// How long after its request's deadline a response may arrive before it counts as lost (page STANDING).
+/// How long after the deadline of its request a response may arrive before it counts as lost (page STANDING).
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(500);
 
 pub(super) fn check(request: &RequestHistory, context: &Context) -> Option<Violation> {
--- a/crates/fault-soak/src/invariants/retry_safety.rs
+++ b/crates/fault-soak/src/invariants/retry_safety.rs
@@ -5,7 +5,7 @@
 use crate::environment::settings::DEDUPLICATION_WINDOW;
 use crate::request::{RequestClass, ResponseStatus};
 
-/// Checks that a non-idempotent request that was rejected had not been executed.
+/// Checks that a request of the class `NonIdempotent` that was rejected had not been executed.
 pub(super) fn check_rejection(request: &RequestHistory, _context: &Context) -> Option<Violation> {
     let response = request.responses.first()?;
     let was_executed_before = request
@@ -23,7 +23,7 @@
 
 /// Checks that no attempt that the request's class forbids follows the execution of the request.
 ///
-/// The class of a request that was not sent completely is unknown; any retry is then permitted.
+/// The class of a request that was not sent completely is unknown. Any retry of such a request is permitted.
 pub(super) fn check_retries(request: &RequestHistory, _context: &Context) -> Option<Violation> {
     let class = request.class()?;
     let executed = request.attempts.iter().position(|attempt| attempt.is_executed)?;
--- a/crates/fault-soak/src/invariants/tests.rs
+++ b/crates/fault-soak/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the oracle, which must find each violation, and none in a correct run.
+//! Tests of the test oracle, which must find each kind of violation, and none in a correct run.
 
 use super::{Invariant, check, check_recovery};
 use crate::recorder::{DiscoveryEffect, Event, FaultPhase, HealthProblem, Incarnation, ProcessEvent, Record};
@@ -228,7 +228,7 @@
     assert_eq!(violated(&[process(900, unhealthy)]), [Invariant::ProcessHealth]);
 }
 
-/// A change in an outage counts as notified 4 s after the outage's start, or at once if published later.
+/// In an outage, schedulers count as notified 4 s after its start; later changes count as known at once.
 #[test]
 fn drain_notifications_during_an_outage_count_from_the_start_of_the_outage() {
     let outage_fault = |milliseconds, phase| {
--- a/crates/fault-soak/src/invariants/time_limit.rs
+++ b/crates/fault-soak/src/invariants/time_limit.rs
@@ -4,7 +4,7 @@
 use super::{Context, Invariant, Violation};
 use std::time::Duration;
 
-/// The time by which a time limit may exceed the client's remaining time (the operators' terms of
+/// The time by which a worker's time limit may exceed the client's remaining time (operators' terms of
 /// 2026-12-02).
 const TIME_LIMIT_TOLERANCE: Duration = Duration::from_millis(150);
 
--- a/crates/fault-soak/src/invariants/violation.rs
+++ b/crates/fault-soak/src/invariants/violation.rs
@@ -3,7 +3,7 @@
 use crate::request::RequestId;
 use std::time::Duration;
 
-/// An invariant. Most have an id, which `docs/promises.md` defines.
+/// An invariant that the schedulers must keep. Most invariants have an id, which `docs/promises.md` defines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Invariant {
     /// A1: every request gets a final response.
