--- a/crates/fault-soak/src/command_line.rs
+++ b/crates/fault-soak/src/command_line.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The upper bound of `--seconds`.
+/// The upper bound of `--seconds`. A larger argument is reduced to it.
 const MAX_SECONDS: f64 = 3_600.0;
 
 /// Injects overlapping faults into real schedulers and checks their invariants.
@@ -34,7 +34,7 @@
 
 #[derive(Args)]
 pub(crate) struct ScheduleArguments {
-    /// The first seed.
+    /// Seed of the schedule. If several seeds are run, this is the first one.
     #[arg(long, default_value_t = 1)]
     pub(crate) seed: u64,
     /// Length of the period in which faults start, in seconds.
@@ -55,10 +55,10 @@
     /// Number of schedulers, each a separate process.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u8).range(1..=40))]
     schedulers: u8,
-    /// Number of simulated workers.
+    /// Number of stand-in workers.
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u8).range(1..=40))]
     workers: u8,
-    /// Number of clients per scheduler.
+    /// Number of stand-in clients per scheduler.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=20))]
     clients: u8,
     /// Path of the scheduler program; by default the one in this program's directory.
@@ -73,7 +73,7 @@
 }
 
 impl ScheduleArguments {
-    /// Returns the schedule of a seed for these arguments.
+    /// Returns the schedule that a seed has with these arguments.
     pub(crate) fn schedule_of(&self, seed: u64) -> Vec<PlannedFault> {
         let length = Duration::from_secs_f64(self.seconds.clamp(0.0, MAX_SECONDS));
         schedule(seed, length, &self.kinds)
@@ -92,8 +92,9 @@
         self.schedule.schedule_of(seed)
     }
 
-    /// Returns how to start the schedulers. Fails if the scheduler program or the fault injection library is
-    /// missing.
+    /// Returns the options for starting schedulers.
+    ///
+    /// Returns an error if the scheduler program or the fault injection library is missing.
     pub(crate) fn launch_options(&self) -> Result<LaunchOptions> {
         let own_path = std::env::current_exe()?;
         let folder = own_path
--- a/crates/fault-soak/src/coverage.rs
+++ b/crates/fault-soak/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Totals over all seeds: the faults that were covered and the invariants that were violated.
+//! Totals over the runs of all seeds: the faults that were injected and the invariants that were violated.
 
 use crate::faults::{FaultKind, PlannedFault};
 use crate::invariants::{Invariant, OutageRequestCounts, count_outage_requests};
@@ -7,7 +7,7 @@
 use crate::run::RunResult;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Totals over the runs.
+/// The totals over the runs of all seeds.
 #[derive(Debug, Default)]
 pub(crate) struct Coverage {
     seeds: usize,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Adds the pairs and triples of fault kinds that overlap in time.
+    /// Adds the pairs and triples of fault kinds that are active at the same time.
     fn add_overlaps(&mut self, schedule: &[PlannedFault]) {
         for (index, first) in schedule.iter().enumerate() {
             let overlapping: Vec<&PlannedFault> = schedule[index + 1..]
@@ -87,7 +87,7 @@
             self.overlapping_triples.len()
         );
         println!(
-            "of {} requests sent while discovery was out of reach for long, {} were served",
+            "of {} requests sent late in long discovery outages, {} were served",
             self.outage_requests.sent, self.outage_requests.served
         );
         println!(
--- a/crates/fault-soak/src/main.rs
+++ b/crates/fault-soak/src/main.rs
@@ -1,7 +1,7 @@
 //! Injects seeded schedules of overlapping faults into real schedulers on loopback and checks their
 //! invariants from the outside.
 //!
-//! The same seed gives the same schedule. The timing still differs from run to run, because the environment
+//! A seed always gives the same schedule. The timing still differs from run to run, because the environment
 //! consists of real processes and real sockets.
 //!
 //! The modules, each of which depends only on those below it:
@@ -10,7 +10,7 @@
 //! - [`run`] executes one schedule and checks its result.
 //! - [`faults`] defines the fault kinds, generates the schedules and injects the faults.
 //! - [`invariants`] is the test oracle: it checks the records of a run for violations.
-//! - [`environment`] runs the schedulers with simulated workers, networks, discovery and clients.
+//! - [`environment`] runs the schedulers, with stand-ins for the workers, networks, discovery and clients.
 //! - [`recorder`], `request` and `timer_lag` hold the observations of a run.
 
 mod command_line;
--- a/crates/fault-soak/src/recorder.rs
+++ b/crates/fault-soak/src/recorder.rs
@@ -43,9 +43,9 @@
     },
     /// A worker has received a load order.
     LoadOrderReceived { worker: usize, is_undelayed: bool },
-    /// The endpoint list now has a worker as draining.
+    /// The endpoint list shows a worker as draining from now on.
     WorkerDraining { worker: usize },
-    /// The endpoint list now has a worker as ready: a new process at the old address.
+    /// The endpoint list shows a worker as ready from now on, with a new process at the old address.
     WorkerReady { worker: usize },
     /// A fault has started or ended.
     Fault {
@@ -65,13 +65,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryEffect {
     None,
-    /// A scheduler may not know of changes while the fault lasts and for some time after it.
+    /// While the fault lasts, and for some time after it, a scheduler may not know of changes.
     DelaysUpdates,
     /// No scheduler can reach the discovery service.
     Outage,
 }
 
-/// Whether a fault starts or ends.
+/// Whether a fault has started or ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultPhase {
     Started,
@@ -97,21 +97,16 @@
 /// A problem of a scheduler's process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum HealthProblem {
+    /// The process has not become ready in time after its start.
     NotReadyInTime,
-    NotGoneInTime {
-        after_sigterm: Duration,
-    },
+    /// The process has not exited in time after SIGTERM.
+    NotGoneInTime { after_sigterm: Duration },
     /// The idle process holds too many file descriptors or threads.
-    TooManyResources {
-        descriptors: usize,
-        threads: usize,
-    },
+    TooManyResources { descriptors: usize, threads: usize },
     /// The process does not watch the endpoint list.
     NoWatch,
     /// The process has logged a violation or a panic.
-    ReportedViolation {
-        log_line: String,
-    },
+    ReportedViolation { log_line: String },
 }
 
 /// An event with the time at which it was observed, since the start of the run.
@@ -129,7 +124,7 @@
 }
 
 impl Recorder {
-    /// Creates an empty recorder; the run starts now.
+    /// Creates an empty recorder, whose run starts now.
     pub(crate) fn new() -> Recorder {
         Recorder {
             start: Instant::now(),
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -6,7 +6,7 @@
 use crate::run::RunResult;
 use std::time::Duration;
 
-/// The timeline shows the records that are less than this away from the first violation.
+/// The maximum distance in time from the first violation at which the timeline shows records and log lines.
 const TIMELINE_SPAN: Duration = Duration::from_millis(2_500);
 /// The maximum number of lines of each scheduler's log in the timeline.
 const MAX_LOG_LINES: usize = 12;
@@ -15,20 +15,20 @@
 
 /// Prints the result of one seed.
 ///
-/// Without violations it is one line; otherwise it lists the violations and the timeline around the first
-/// one.
+/// The report is a single line if there are no violations. Otherwise it lists the violations and the timeline
+/// around the first one.
 pub(crate) fn print(seed: u64, result: &RunResult) {
     let timer_lag = result.max_timer_lag;
     let Some(first) = result.violations.first() else {
-        println!("seed {seed}: no violation; timer lag {timer_lag:?} at most");
+        println!("seed {seed}: no violation; maximum timer lag {timer_lag:?}");
         return;
     };
     let count = result.violations.len();
-    println!("seed {seed}: {count} violations; timer lag {timer_lag:?} at most");
+    println!("seed {seed}: {count} violations; maximum timer lag {timer_lag:?}");
     for violation in result.violations.iter().take(MAX_LISTED_VIOLATIONS) {
         println!("  {}", violation_line(violation));
     }
-    println!("  timeline around the first:");
+    println!("  timeline around the first violation:");
     for record in &result.records {
         if is_relevant(record, first) {
             println!(
@@ -40,7 +40,7 @@
     }
     for (scheduler, log_tail) in result.log_tails.iter().enumerate() {
         for line in log_lines_near(log_tail, first.at) {
-            println!("    log of {scheduler}: {line}");
+            println!("    log of scheduler {scheduler}: {line}");
         }
     }
 }
@@ -76,8 +76,8 @@
 
 /// Returns whether a record is relevant to a violation.
 ///
-/// It is if it concerns the same request, or if it is a fault or a change of state near the time of the
-/// violation.
+/// A record is relevant if it concerns the same request, or if it is a fault or a change of state of a
+/// process or worker near the time of the violation.
 fn is_relevant(record: &Record, violation: &Violation) -> bool {
     let is_violating_request = |request: &RequestId| violation.request == Some(*request);
     match &record.event {
@@ -93,14 +93,16 @@
     }
 }
 
-/// Returns the last lines of a log that were read near a time, at most [`MAX_LOG_LINES`].
+/// Returns the lines of a log that were read near a time, and only the last [`MAX_LOG_LINES`] of them.
 fn log_lines_near(log_tail: &[String], at: Duration) -> Vec<&String> {
     let near: Vec<&String> = log_tail.iter().filter(|line| is_near(line, at)).collect();
     let skipped = near.len().saturating_sub(MAX_LOG_LINES);
     near[skipped..].to_vec()
 }
 
-/// Returns whether a log line was read near a time. The line begins with the time of its reading, in seconds.
+/// Returns whether a log line was read near a time.
+///
+/// The line begins with the time at which it was read, in seconds since the start of the run.
 fn is_near(line: &str, at: Duration) -> bool {
     let time = line.split(' ').next().and_then(|word| word.parse::<f64>().ok());
     time.is_some_and(|time| (time - at.as_secs_f64()).abs() < TIMELINE_SPAN.as_secs_f64())
--- a/crates/fault-soak/src/request.rs
+++ b/crates/fault-soak/src/request.rs
@@ -1,8 +1,8 @@
-//! The properties of a request that its client and its worker share.
+//! Types for the properties of a request, which its client, its worker and the test oracle use.
 
 use std::fmt;
 
-/// Identifies a request in the client, in the scheduler's log and in the worker.
+/// Identifies a request to the client and the worker, and in the scheduler's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct RequestId(pub(crate) u64);
 
@@ -21,7 +21,7 @@
 pub(crate) enum RequestClass {
     /// The request may be executed any number of times.
     Idempotent,
-    /// The request has an idempotency key: it may be retried during the deduplication window, in which
+    /// The request has an idempotency key. It may be retried during the deduplication window, in which
     /// workers discard duplicates.
     IdempotencyKey,
     /// The request may be executed at most once.
@@ -44,7 +44,7 @@
 pub(crate) enum ResponseStatus {
     /// The response carries the worker's result.
     Served,
-    /// No attempt was made, or none can have been executed.
+    /// The request was not executed: no attempt was made, or no attempt can have been executed.
     Rejected,
     /// The request may have been executed, but there is no result.
     Failed,
--- a/crates/fault-soak/src/run.rs
+++ b/crates/fault-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: injects the faults of a schedule into an environment and checks the invariants.
+//! A run, which injects the faults of a schedule into an environment and checks the invariants.
 
 use crate::environment::settings::longest_deadline;
 use crate::environment::{Environment, EnvironmentSize, LaunchOptions};
@@ -16,7 +16,7 @@
 const WARM_UP: Duration = Duration::from_millis(800);
 /// The time without faults after the last one, in which the service has to recover.
 const RECOVERY_TIME: Duration = Duration::from_millis(4_500);
-/// The time beyond the longest deadline that is left for the last responses.
+/// How long after the longest deadline of the last requests the run still waits for responses.
 const LAST_RESPONSES_MARGIN: Duration = Duration::from_millis(800);
 
 /// The result of a run.
@@ -79,7 +79,7 @@
         })
         .collect();
     for fault in faults {
-        // A task fails only by a panic, which the runtime has already printed.
+        // The task fails only if it panics, and the panic message has already been printed.
         let _ = fault.await;
     }
 }
--- a/crates/fault-soak/src/timer_lag.rs
+++ b/crates/fault-soak/src/timer_lag.rs
@@ -1,22 +1,23 @@
-//! Measures how late the soak's own timers fire, which bounds the error of the times that it observes.
+//! Measures how late this program's own timers fire, which bounds the error of the times that it records.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The interval of the timer that is observed.
+/// The interval of the timer whose lag is measured.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// A late tick applies to all events that are less than this away from it.
+/// The lag of a tick applies to all events that are less than this time away from the tick.
 const LAG_WINDOW: Duration = Duration::from_millis(1_000);
 /// The resolution of the timer. Ticks that are late by no more than this are ignored.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(4);
 
-/// The late ticks of the soak's own timer.
+/// The late ticks of this program's own timer.
 #[derive(Debug, Default)]
 pub(crate) struct TimerLag {
     late_ticks: Mutex<Vec<LateTick>>,
 }
 
+/// A tick that was late by `lag`, and the time at which it fired.
 #[derive(Debug)]
 struct LateTick {
     at: Duration,
@@ -42,7 +43,7 @@
         timer_lag
     }
 
-    /// Returns the longest lag near a time.
+    /// Returns the longest lag within [`LAG_WINDOW`] of a time.
     pub(crate) fn max_near(&self, at: Duration) -> Duration {
         let late_ticks = self.late_ticks();
         let nearby = late_ticks.iter().filter(|tick| tick.at.abs_diff(at) < LAG_WINDOW);
