--- a/crates/fault-soak/src/environment/client/response_reader.rs
+++ b/crates/fault-soak/src/environment/client/response_reader.rs
@@ -14,7 +14,7 @@
 /// How often the reader checks whether its client has closed the connection.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Reads and records responses until either side closes the connection.
+/// Reads frames until either side closes the connection, and records the responses.
 pub(super) async fn run(state: Arc<ConnectionState>, mut input: OwnedReadHalf) {
     // The requests that have received a response, by stream id, so that a duplicate response is recorded too.
     let mut answered: HashMap<u32, RequestId> = HashMap::new();
--- a/crates/fault-soak/src/invariants/recovery.rs
+++ b/crates/fault-soak/src/invariants/recovery.rs
@@ -6,9 +6,9 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// The length of the period before the clients stop whose requests are evaluated.
+/// The length of the evaluated period, which ends when the clients stop.
 const RECOVERY_WINDOW: Duration = Duration::from_millis(2_000);
-/// The minimum fraction of these requests that must be served, from 0 to 1.
+/// The minimum fraction of the requests sent in that period that must be served, from 0 to 1.
 const MIN_SERVED_FRACTION: f64 = 0.5;
 /// The minimum number of requests that must be sent in that period. With fewer requests, the fraction is not
 /// meaningful.
--- a/crates/fault-soak/src/report.rs
+++ b/crates/fault-soak/src/report.rs
@@ -6,7 +6,8 @@
 use crate::run::RunResult;
 use std::time::Duration;
 
-/// The maximum distance in time from the first violation at which the timeline shows records and log lines.
+/// The time before and after the first violation for which the timeline shows faults, changes of state and
+/// log lines.
 const TIMELINE_SPAN: Duration = Duration::from_millis(2_500);
 /// The maximum number of lines of each scheduler's log in the timeline.
 const MAX_LOG_LINES: usize = 12;
