--- a/crates/fault-soak/src/recorder.rs
+++ b/crates/fault-soak/src/recorder.rs
@@ -37,6 +37,7 @@
         request: RequestId,
         worker: usize,
         time_limit: Duration,
+        /// Whether the worker executes the request, so that the request may have an effect.
         is_executed: bool,
         /// Whether no network or worker fault delays the attempt, so that it arrives when it is sent.
         is_undelayed: bool,
@@ -49,6 +50,7 @@
     WorkerReady { worker: usize },
     /// A fault has started or ended.
     Fault {
+        /// The index of the fault in the schedule.
         number: usize,
         description: String,
         phase: FaultPhase,
