--- a/src/frontend/frame_codec/fields.rs
+++ b/src/frontend/frame_codec/fields.rs
@@ -31,7 +31,7 @@
         let names = || self.pairs.iter().map(|(name, _)| *name);
         names()
             .enumerate()
-            .any(|(place, name)| names().take(place).any(|earlier| earlier == name))
+            .any(|(index, name)| names().take(index).any(|earlier| earlier == name))
     }
 }
 
