--- a/crates/fault-soak/src/environment/settings.rs
+++ b/crates/fault-soak/src/environment/settings.rs
@@ -24,8 +24,8 @@
 /// Returns the longest deadline of the deployment that a seed selects. All its request classes have this
 /// deadline.
 pub(crate) fn longest_deadline(seed: u64) -> Duration {
-    let place = seed % LONGEST_DEADLINES_MS.len() as u64;
-    Duration::from_millis(LONGEST_DEADLINES_MS[place as usize])
+    let index = seed % LONGEST_DEADLINES_MS.len() as u64;
+    Duration::from_millis(LONGEST_DEADLINES_MS[index as usize])
 }
 
 /// Returns how long after SIGTERM a process is killed if it is still running. This is the shortest time that
