--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -74,12 +74,12 @@
     /// Updates the lease for a change of the watch at `at`.
     fn update(&mut self, at: Time, status: WatchStatus) {
         let earlier_of_current_and =
-            |limit: Time| self.notified_from.map_or(limit, |present| present.min(limit));
+            |limit: Time| self.notified_from.map_or(limit, |current| current.min(limit));
         if status == WatchStatus::Confirmed {
             self.confirmed_at = at;
         }
         let later_of_current_and =
-            |limit: Time| self.notified_from.map_or(limit, |present| present.max(limit));
+            |limit: Time| self.notified_from.map_or(limit, |current| current.max(limit));
         self.notified_from = match status {
             WatchStatus::Disabled => None,
             // A request counts as notification of everything published before it, no matter when its
