--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -254,7 +254,7 @@
 impl Settings {
     /// Returns the value of a load report that measures `metric`, if there is one.
     pub fn load_metric(&self, metric: LoadMetric, report: &[f32]) -> Option<f64> {
-        let place = self.load_metrics.iter().position(|known| *known == metric)?;
-        report.get(place).map(|value| f64::from(*value))
+        let index = self.load_metrics.iter().position(|known| *known == metric)?;
+        report.get(index).map(|value| f64::from(*value))
     }
 }
--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -62,7 +62,7 @@
         for old in self.named_classes() {
             let same_name = |new: &NamedClass| new.name.is_some() && new.name == old.name;
             match new_classes.iter().position(same_name) {
-                Some(place) => merged.push(new_classes.remove(place)),
+                Some(index) => merged.push(new_classes.remove(index)),
                 None => merged.push(NamedClass {
                     name: None,
                     class: old.class,
