--- a/src/cluster/acceptance.rs
+++ b/src/cluster/acceptance.rs
@@ -7,7 +7,7 @@
 /// workers.
 const NEVER: Time = Time(0);
 
-/// Record of the attempts that show whether a worker takes new work.
+/// Record of the attempts that show whether a worker accepts new work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Acceptance {
     last_accepted: Time,
--- a/src/cluster/function.rs
+++ b/src/cluster/function.rs
@@ -5,7 +5,7 @@
 
 /// Maximum memory of one instance, in MB; the value in a request is clamped to the range from 0 to this.
 ///
-/// Keeps an invalid value from distorting the memory calculations.
+/// The limit keeps an invalid value from distorting the memory calculations.
 const MAX_MEMORY_MB: f64 = 1e12;
 /// Maximum number of requests that one instance runs at a time; the value in a request is clamped to the
 /// range from 1 to this.
--- a/src/cluster/instance.rs
+++ b/src/cluster/instance.rs
@@ -44,9 +44,8 @@
         self.ordered_at.is_none() && !self.load_backoff.is_active(now)
     }
 
-    /// Returns whether the state differs from that of a new instance.
-    ///
-    /// An idle instance stays loaded on its worker for `keep_alive`.
+    /// Returns whether the state still matters: requests are in flight, a load order is in progress, a
+    /// backoff is active, or the instance was expected to be loaded less than `keep_alive` ago.
     pub(crate) fn is_relevant(&self, now: Time, keep_alive: Span) -> bool {
         self.in_flight > 0 || !self.can_order_load(now) || now - self.loaded_until < keep_alive
     }
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -48,7 +48,7 @@
     pub(crate) requests: BTreeMap<RequestId, Request>,
     /// Attempts that have not ended, including those of requests that have.
     pub(crate) attempts: BTreeMap<AttemptId, Attempt>,
-    /// Usual latency of a loaded instance in seconds, by class.
+    /// Baseline latency by class: the usual latency of a loaded instance, in seconds.
     pub(crate) baseline_latency: Vec<DecayingAverage>,
     /// Recent work done by all workers for this scheduler, in seconds.
     pub(crate) completed_work: DecayingSum,
--- a/src/cluster/traffic.rs
+++ b/src/cluster/traffic.rs
@@ -1,4 +1,4 @@
-//! Requests that are received, and attempts that are sent and end.
+//! Records of received requests, and of attempts from their sending to their end.
 
 use super::{Attempt, AttemptId, Cluster, Request};
 use crate::model::{FunctionId, IncomingRequest, RequestId, Span, Time, WorkerId};
--- a/src/cluster/worker.rs
+++ b/src/cluster/worker.rs
@@ -26,7 +26,7 @@
     pub(crate) saturation: DecayingAverage,
     /// Health of the worker.
     pub(crate) health: Health,
-    /// Whether the worker takes new work, judged by the attempts sent to it.
+    /// Whether the worker accepts new work, judged by the attempts sent to it.
     pub(crate) acceptance: Acceptance,
 }
 
@@ -35,7 +35,7 @@
 pub(crate) struct Health {
     /// Time of the latest response, and the health checks.
     pub(crate) liveness: Liveness,
-    /// Time until which the worker gets no requests if other workers can take them.
+    /// Backoff during which the worker is sent no requests if enough other workers can take them.
     pub(crate) ejection: BackoffTimer,
     /// Fraction of attempts at loaded instances that failed, 0 to 1.
     pub(crate) error_rate: ThresholdDetector,
@@ -82,7 +82,7 @@
         ordered.filter(|instance| !instance.is_loaded(now)).count()
     }
 
-    /// Returns the number of instances whose load requests in flight wait for.
+    /// Returns the number of instances that requests in flight wait for until they are loaded.
     pub(crate) fn awaited_loads(&self, now: Time) -> usize {
         self.instances
             .values()
@@ -95,8 +95,8 @@
         self.instances.values_mut().for_each(Instance::expire);
     }
 
-    /// Records the end of an attempt and, if its load report gives it, the number of requests in flight to
-    /// the worker.
+    /// Records the end of an attempt and, if the load report contains it, the number of requests in flight
+    /// on the worker.
     ///
     /// Returns whether the worker had not responded between the sending of the attempt and its end.
     pub(crate) fn end_attempt(
