--- a/src/collections/aimd.rs
+++ b/src/collections/aimd.rs
@@ -17,7 +17,7 @@
     pub(crate) decrease_factor: f64,
     /// Minimum time between two decreases.
     pub(crate) decrease_interval: Span,
-    /// Unused part of the limit up to which the limit may increase.
+    /// Maximum unused part of the limit at which the limit still increases.
     pub(crate) headroom: f64,
 }
 
--- a/src/collections/backoff.rs
+++ b/src/collections/backoff.rs
@@ -56,7 +56,7 @@
         self.failures += 1;
     }
 
-    /// Records a failure and extends the backoff; one that would end later is kept.
+    /// Records a failure and extends the backoff; a current backoff that ends later is kept.
     pub(crate) fn extend(&mut self, now: Time, backoff: ExponentialBackoff) {
         self.extend_until(now + backoff.delay(self.failures));
         self.failures += 1;
