--- a/src/model/actions.rs
+++ b/src/model/actions.rs
@@ -7,7 +7,7 @@
 pub enum RejectionCause {
     /// The workers could not serve the request in time.
     NotServed,
-    /// The endpoint list is stale, and no worker is confirmed to take new work.
+    /// The endpoint list is stale, and no worker is confirmed to accept new work.
     NoConfirmedWorker,
 }
 
@@ -27,7 +27,7 @@
         /// Time limit of the attempt.
         timeout: Span,
     },
-    /// Stops waiting for an attempt.
+    /// Cancels an attempt.
     Cancel {
         /// The request.
         id: RequestId,
@@ -64,7 +64,7 @@
         /// The function.
         function: FunctionId,
     },
-    /// Checks whether a worker is healthy.
+    /// Checks whether a worker is alive.
     HealthCheck {
         /// The worker.
         worker: WorkerId,
--- a/src/model/endpoints.rs
+++ b/src/model/endpoints.rs
@@ -8,7 +8,7 @@
     /// The worker may be sent requests.
     #[default]
     Ready,
-    /// The worker completes its current work and may not be sent new work.
+    /// The worker completes its current work and must not be sent new work.
     Draining,
     /// The worker has been removed.
     Gone,
@@ -84,12 +84,12 @@
 pub enum WatchStatus {
     /// There is no discovery service to watch.
     Disabled,
-    /// The changes since the current list have been requested from the discovery service or are about to
-    /// be.
+    /// The changes since the current list have been requested from the discovery service, or are about to be
+    /// requested.
     Requested,
     /// A change has arrived; others may follow.
     EventReceived,
-    /// All changes published before have arrived.
+    /// All changes published so far have arrived.
     Confirmed,
     /// The connection has ended.
     Disconnected,
--- a/src/model/events.rs
+++ b/src/model/events.rs
@@ -16,7 +16,7 @@
     pub class: ClassId,
     /// Tenant of the request.
     pub tenant: TenantId,
-    /// Time until the client gives up.
+    /// Time until the client stops waiting.
     pub remaining: Span,
     /// Memory of one loaded instance, in MB.
     pub memory_mb: f64,
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -30,8 +30,10 @@
         }
     }
 
-    /// Returns whether `worker` drops a repeat of a request that may have run on `first`, or the repeat is
-    /// harmless.
+    /// Returns whether a request that may have run on `first` may be repeated on `worker`, as far as the
+    /// deduplication scope is concerned.
+    ///
+    /// [`Idempotency::permits_repeat_at`] decides whether it may be repeated at all.
     pub fn permits_repeat_on(self, worker: &Endpoint, first: &Endpoint) -> bool {
         match self {
             Idempotency::Keyed {
@@ -174,7 +176,7 @@
     pub worker_memory_mb: Vec<f64>,
 }
 
-/// Costs that are deducted from the score, each as a fraction of the full score per unit.
+/// Costs that are deducted from the result, each as a fraction of the full result per unit.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// Cost of all memory being held by idle instances over the whole time.
@@ -238,7 +240,7 @@
     pub permissions: Permissions,
     /// How functions are loaded.
     pub loading: LoadingSettings,
-    /// Costs that are deducted from the score.
+    /// Costs that are deducted from the result.
     pub prices: Prices,
     /// What the values of a load report measure, in their order.
     pub load_metrics: Vec<LoadMetric>,
--- a/src/model/site.rs
+++ b/src/model/site.rs
@@ -1,4 +1,4 @@
-//! A site: its settings and what connections need from them.
+//! A site: the settings of the policy, and what the scheduler and its connections need in addition.
 
 use super::{KindId, RequestClass, Settings, Span, ZoneId};
 
