--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -29,21 +29,22 @@
 pub(super) const WORKER_SATURATION: f64 = 0.35;
 /// Weight, 0 to 1, of a response in the saturation of its worker.
 const WORKER_SATURATION_WEIGHT: f64 = 0.15;
-/// Saturation over all workers, 0 to 1 (exclusive), from which new requests are shed.
+/// Saturation over all workers, 0 to 1 (exclusive), above which new requests are shed.
 const SHED_SATURATION: f64 = 0.5;
 /// Ratio, above 1, between the priorities of two classes from which the one with the higher priority is a
 /// high-priority class.
 ///
 /// The priority of a class is its weight relative to its work. Requests of a high-priority class are shed
-/// later, and the concurrency limit of a worker is multiplied by this ratio for them.
+/// only at a higher saturation, and the concurrency limit of a worker is multiplied by this ratio for them.
 const HIGH_PRIORITY_RATIO: f64 = 1.5;
-/// Fraction, 0 to 1, of a request by which the first request that waits for a loading instance counts less
-/// towards the limit of the worker than a running request.
+/// Number of requests, 0 to 1, that is deducted from those in flight on a worker for each loading instance
+/// that requests wait for, before they are compared with the concurrency limit.
 const LOADING_DISCOUNT: f64 = 0.5;
-/// Fraction, 0 to 1, of the workers at capacity above which the fleet is overloaded and waits are cut short.
+/// Fraction, 0 to 1, of workers at capacity above which the workers as a whole count as overloaded and
+/// requests wait for a shorter time.
 const OVERLOADED_FRACTION: f64 = 0.5;
-/// Longest wait for capacity in an overloaded fleet, as a fraction (0 to 1) of the latency objective of a
-/// request.
+/// Longest wait for capacity while the workers as a whole are overloaded, as a fraction (0 to 1) of the
+/// latency objective of a request.
 const OVERLOADED_MAX_WAIT_FRACTION: f64 = 0.2;
 /// Longest wait for capacity, as a fraction (0 to 0.5) of the time from receipt to the deadline.
 ///
@@ -55,7 +56,8 @@
 /// Returns the fraction of the latency objective that an attempt used, if it shows how loaded the workers
 /// are.
 ///
-/// Neither a wait for a load nor a rejection after the first attempt of a request does.
+/// A response of an instance that was not expected to be loaded does not show that, because its latency may
+/// include the loading of the instance. The rejection of a retry does not show it either.
 pub(super) fn objective_used(attempt: &Attempt, outcome: &AttemptOutcome) -> Option<f64> {
     let objective = attempt.latency_objective.as_secs_f64().max(MIN_DIVISOR_SECONDS);
     let fraction = (outcome.latency.as_secs_f64() / objective).min(1.0);
@@ -68,11 +70,11 @@
 }
 
 impl Worker {
-    /// Adapts the concurrency limit to the fraction of its objective that a request used at a loaded
-    /// instance.
+    /// Adapts the concurrency limit after a loaded instance has served a request, which used this fraction
+    /// of its latency objective.
     pub(super) fn adapt_limit(&mut self, objective_used: f64, now: Time) {
         self.saturation.update(objective_used, WORKER_SATURATION_WEIGHT);
-        // The mean lags behind: a quick response is no sign of overload.
+        // The mean lags behind, so a quick response does not decrease the limit.
         if self.saturation.value() > WORKER_SATURATION && objective_used > WORKER_SATURATION {
             self.concurrency_limit.decrease(now, &CONCURRENCY_LIMIT);
         } else {
@@ -83,7 +85,7 @@
 }
 
 impl Policy {
-    /// Draws whether a new request is shed before it is queued.
+    /// Returns whether a new request is shed, by a random draw.
     ///
     /// The probability grows with the excess of the saturation over [`SHED_SATURATION`].
     pub(super) fn should_shed(&mut self, class: usize) -> bool {
@@ -124,8 +126,8 @@
         self.fraction_at_capacity = at_capacity as f64 / self.cluster.workers.len().max(1) as f64;
     }
 
-    /// Queues a request in the scheduler, where it lengthens no queue of a worker, or ends it if it has
-    /// waited too long.
+    /// Queues a request in the scheduler rather than at a worker, or ends it if it has waited too long or
+    /// may not be retried.
     pub(super) fn queue_or_shed(&mut self, id: RequestId) {
         self.measure_fraction_at_capacity();
         let request = &self.cluster.requests[&id];
--- a/src/policy/candidates.rs
+++ b/src/policy/candidates.rs
@@ -9,24 +9,24 @@
 
 /// Time for which a miss is evidence that the instance is not loaded.
 const MISS_VALIDITY: Span = Span::from_millis(1000);
-/// Workers in hash order, for each wanted instance, that are considered for a request.
+/// Number of workers, per wanted instance, that are considered for a request, in hash order.
 const CANDIDATES_PER_INSTANCE: usize = 2;
-/// Workers in hash order that are considered in addition to [`CANDIDATES_PER_INSTANCE`].
+/// Number of workers that are considered in addition to [`CANDIDATES_PER_INSTANCE`], in hash order.
 const EXTRA_CANDIDATES: usize = 12;
-/// Load, in requests in flight for each unit of the cross-zone price, that a worker in another zone is
-/// charged.
+/// Load, in requests in flight per unit of the cross-zone price, that is added to that of a worker in
+/// another zone.
 const CROSS_ZONE_WEIGHT: f64 = 10.0;
-/// Fraction, 0 to 1, of the workers that must not be ejected for the ejected ones to be left out.
+/// Minimum fraction of workers, 0 to 1, that are not ejected, at which the ejected workers are left out.
 ///
-/// At one half, requests are sent again to a zone that is unreachable.
+/// At one half, requests are sent to an unreachable zone again.
 const MIN_HEALTHY_FRACTION: f64 = 0.25;
 /// Ratio, above 1, of the requests in flight on a worker to the mean, above which the worker may be a
 /// hotspot.
 const HOTSPOT_FACTOR: f64 = 2.0;
-/// Requests in flight, in addition to [`HOTSPOT_FACTOR`] times the mean, that a worker may have before it is
-/// a hotspot.
+/// Requests in flight, in addition to [`HOTSPOT_FACTOR`] times the mean, that a worker may have before it
+/// counts as a hotspot.
 const HOTSPOT_ALLOWANCE: f64 = 4.0;
-/// Fraction, 0 to 1, of the workers that must not be hotspots for the hotspots to be left out.
+/// Minimum fraction of workers, 0 to 1, that are not hotspots, at which the hotspots are left out.
 const MIN_NON_HOTSPOT_FRACTION: f64 = 0.5;
 
 /// The data from which the worker for a request is chosen.
@@ -77,7 +77,8 @@
         if !self.is_replicated_to_all(function) {
             workers.truncate(demand.instances * CANDIDATES_PER_INSTANCE + EXTRA_CANDIDATES);
         }
-        // Requests of other schedulers have loaded instances on the first workers of the hash order, which
+        // If this scheduler has too few requests of its own to show where instances are loaded, it presumes
+        // that requests of other schedulers have loaded them on the first workers of the hash order, which
         // all schedulers share.
         let presumed_instances = if demand.is_sparsely_sampled {
             demand.instances
@@ -95,8 +96,8 @@
         }
     }
 
-    /// Leaves out ejected workers, unless few would remain, and then hotspots, unless most workers are
-    /// hotspots.
+    /// Returns the workers without ejected ones, unless too few would remain, and then without hotspots,
+    /// unless most of the remaining workers are hotspots.
     fn without_outliers<'a>(&self, workers: Vec<&'a Worker>) -> Vec<&'a Worker> {
         let is_healthy = |worker: &&Worker| !worker.health.ejection.is_active(self.now);
         let workers = retain_unless_few(workers, MIN_HEALTHY_FRACTION, is_healthy);
