--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -1,9 +1,9 @@
 //! Leases on the readiness of workers: until when a worker may be sent new work, given the age of the
 //! information about it.
 //!
-//! A drain counts as notified even if discovery cannot deliver the notification. New work must cease by the
-//! end of a grace period that starts then. Therefore an entry of the endpoint list is valid for a limited
-//! time only. Two events renew it:
+//! A scheduler counts as notified of a drain even if discovery could not deliver the notification. It must
+//! stop sending new work by the end of a grace period that starts then. Therefore an entry of the endpoint
+//! list is valid for a limited time only. Two events renew it:
 //!
 //! - *Discovery confirms the list.* The lease on the list covers all workers.
 //! - *A worker accepts an attempt.* A draining worker rejects new work, so the worker was not draining when
@@ -19,19 +19,21 @@
 use crate::model::{EndpointSource, Span, Time, WatchStatus, WorkerId};
 use thiserror::Error;
 
-/// Time after discovery falls silent at which undelivered changes count as notified (page PROTOCOL,
+/// Time without a message from discovery after which undelivered changes count as notified (page PROTOCOL,
 /// "Figures", and page TERMS, "Bad peers").
 const NOTIFIED_AFTER_SILENCE: Span = Span::from_millis(4_000);
 /// Time after the end of the connection to discovery at which undelivered changes count as notified (page
 /// TERMS, "Bad peers").
 const NOTIFIED_AFTER_DISCONNECT: Span = Span::from_millis(2_000);
-/// Time for which an event confirms the list: more events may follow, and otherwise a heartbeat does.
+/// Time after an event within which discovery sends another event or a heartbeat. Until it has passed,
+/// undelivered changes do not count as notified.
 ///
 /// Discovery sends a heartbeat each second (page PROTOCOL, "The event bus").
 const HEARTBEAT_INTERVAL: Span = Span::from_millis(1_000);
 /// Time before undelivered changes count as notified at which an outage of discovery is suspected.
 ///
-/// Two heartbeats are missing by then (page PROTOCOL, "The event bus").
+/// Two heartbeats are missing by then (page PROTOCOL, "The event bus"). If the usable grace period is
+/// shorter, it takes the place of this time.
 const OUTAGE_SUSPICION_LEAD: Span = Span::from_millis(2_000);
 /// Fraction, 0 to 1, of the grace period in which new work may be sent; the rest covers the delivery to the
 /// worker.
@@ -159,8 +161,8 @@
         worker.endpoint.is_ready() && (!self.is_list_stale(self.now) || self.has_lease(worker, self.now))
     }
 
-    /// Returns whether no worker may be sent new work for lack of a lease, and no attempt in flight can
-    /// renew one.
+    /// Returns whether the list is stale, no worker may be sent new work, and no attempt in flight can renew
+    /// a lease.
     pub(super) fn lacks_leases(&self) -> bool {
         let may_renew_lease =
             |worker: &Worker| self.expected_lease(worker).is_some_and(|until| until > self.now);
@@ -169,7 +171,8 @@
             && !workers.any(|worker| self.is_available(worker) || may_renew_lease(worker))
     }
 
-    /// Returns when the lease of a ready worker expires, assuming that it accepts the attempts in flight.
+    /// Returns when the lease of a worker expires, assuming that it accepts the attempts in flight, or
+    /// `None` if the worker has no lease even then.
     pub(super) fn expected_lease(&self, worker: &Worker) -> Option<Time> {
         if !worker.endpoint.is_ready()
             || worker
@@ -195,6 +198,7 @@
         is_same_process && last_accepted.is_some_and(|at| now < at + self.usable_grace())
     }
 
+    /// Returns the part of the grace period in which new work may be sent.
     pub(super) fn usable_grace(&self) -> Span {
         self.settings.safety_limits.drain_grace.mul_f64(GRACE_FRACTION)
     }
--- a/src/policy/lease_renewal.rs
+++ b/src/policy/lease_renewal.rs
@@ -1,23 +1,25 @@
 //! Renewal of leases at low request rates: some requests are held back, so that one can be sent shortly
-//! before the last lease expires. Once no worker has a lease, only discovery can restore one.
+//! before the last lease expires. Once no worker has a lease, no attempt can renew one, and only discovery
+//! can confirm the workers again.
 
 use super::admission::MAX_WAIT_FRACTION;
 use super::{Policy, Timer};
 use crate::cluster::Request;
 use crate::model::{EndpointSource, RequestId, Time};
 
-/// Number of requests that may be held to renew a lease.
+/// Maximum number of requests that are held to renew a lease.
 ///
 /// With fewer, none may be left when the last lease expires; with more, requests are held for too long.
 const MAX_HELD_REQUESTS: usize = 3;
-/// Number of workers with leases from which no request is held, because requests are evidently frequent.
+/// Number of workers with leases at which no request is held, because requests are frequent enough to
+/// renew leases.
 const SUFFICIENT_LEASES: usize = 3;
 /// Time before the expiry of the last lease at which it is renewed, as a fraction (0 to 1) of the usable
 /// grace period.
 const RENEWAL_MARGIN: f64 = 0.1;
 
 impl Policy {
-    /// Holds a new request if it is needed later to renew the last lease, and returns whether it does.
+    /// Holds a new request if it is needed later to renew the last lease, and returns whether it is held.
     pub(super) fn hold_for_lease_renewal(&mut self, id: RequestId) -> bool {
         let due_at = self.renewal_due_at(id).filter(|due_at| *due_at > self.now);
         let Some(due_at) = due_at else {
@@ -36,7 +38,7 @@
         true
     }
 
-    /// Returns when a request is to renew the last lease, or `None` if it need not be held.
+    /// Returns when a request must be sent to renew the last lease, or `None` if it need not be held.
     fn renewal_due_at(&self, id: RequestId) -> Option<Time> {
         let stale_at = self.list_stale_at().filter(|_| self.is_outage_suspected())?;
         let request = self.cluster.requests.get(&id)?;
@@ -57,10 +59,11 @@
         }
     }
 
-    /// Returns when the last lease expires, including that on the list, if few workers have a lease after
-    /// `limit`.
+    /// Returns when the last lease expires, or `None` if enough workers have a lease that expires after
+    /// `limit` or if any worker needs no lease.
     ///
-    /// Returns `None` also if a worker needs no lease.
+    /// `limit` is the end of the lease on the list, or the current time if that is later. It is returned if
+    /// no lease of a worker expires after it.
     fn last_expiry_of_few_leases(&self, limit: Time) -> Option<Time> {
         let mut workers = self.cluster.workers.values();
         if workers.any(|worker| worker.endpoint.source == EndpointSource::Configuration) {
