--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -9,17 +9,17 @@
 const HEALTH_CHECK_AFTER: Span = Span::from_millis(800);
 /// Number of consecutive unanswered health checks after which a worker is ejected.
 const MAX_UNANSWERED_CHECKS: u32 = 2;
-/// Time without a response to an attempt from which its zone is suspected, as a fraction (0 to 1) of its
-/// latency objective.
+/// Time without a response to an attempt after which the zone of its worker is suspected to be unreachable,
+/// as a fraction (0 to 1) of the latency objective of the attempt.
 const ZONE_SILENCE_FRACTION: f64 = 0.5;
-/// Number of silent workers for which a zone is ejected.
+/// Number of silent workers at which a zone is ejected.
 const ZONE_SILENT_WORKERS: usize = 3;
-/// Number of silent workers for which a zone is ejected again if none of its workers has responded since the
+/// Number of silent workers at which a zone is ejected again if none of its workers has recovered since the
 /// last ejection.
 const EJECTED_ZONE_SILENT_WORKERS: usize = 1;
 
 impl Worker {
-    /// Ejects an unreachable worker and expects no instance to be loaded there.
+    /// Ejects an unreachable worker and marks its instances as no longer expected to be loaded.
     pub(super) fn eject(&mut self, now: Time) {
         self.health.ejection.begin(now, BACKOFF);
         self.acceptance.record_unreachable(now);
@@ -70,9 +70,9 @@
 
     /// Returns whether a zone is unreachable.
     ///
-    /// That is the case if several of its workers have not responded to attempts for a fraction of the
-    /// latency objective, while another zone has responded since. Once all workers of the zone have been
-    /// ejected, one such worker is enough.
+    /// A zone is unreachable if several of its workers have not responded to attempts for a fraction of the
+    /// latency objective, and another zone has responded since those attempts were sent, but no worker of
+    /// this zone has. Once all workers of the zone have been ejected, one such worker is enough.
     fn is_zone_unreachable(&self, zone: ZoneId) -> bool {
         let inside = self
             .cluster
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -7,7 +7,8 @@
 use crate::model::{AttemptOutcome, AttemptStatus, InstanceState, LoadMetric, Span, Time};
 use crate::stats::{RatioBounds, ThresholdBounds};
 
-/// Time for which a worker that rejected a request is sent no other request, or no load.
+/// Time for which a worker that rejected a request is sent no further request if it was saturated, and
+/// otherwise no request that starts a load.
 const REJECTION_PAUSE: Span = Span::from_millis(150);
 /// Time within which reset attempts are attributed to one broken connection.
 const RESET_BURST: Span = Span::from_millis(30);
@@ -40,7 +41,8 @@
     /// Records whether a loaded instance served an attempt, and ejects a worker on which too many attempts
     /// fail.
     ///
-    /// Without this, a worker that fails at once would appear idle and attract more and more requests.
+    /// Without this, a worker that fails requests immediately would appear idle and attract more and more
+    /// requests.
     fn record_error_rate(&mut self, status: AttemptStatus, attempt: &Attempt, now: Time) {
         // If no loaded instance was expected, the load may have failed rather than the instance.
         if !attempt.expected_warm {
@@ -72,14 +74,15 @@
                 self.instance_mut(attempt.function).expire();
             }
             AttemptStatus::ConnectFailed => self.eject(now),
-            // A single broken connection is no evidence; if the process is dead, the next connection attempt
-            // is refused.
+            // A single broken connection is no evidence of a dead process; if the process is dead, the next
+            // connection attempt is refused.
             AttemptStatus::Reset => {
                 if self.health.resets.record(now, RESET_BURST, MAX_RESETS) {
                     self.eject(now);
                 }
             }
-            // An unreachable machine does not break its connections, but is silent for the full objective.
+            // An unreachable machine does not close its connections, but sends nothing for the full latency
+            // objective.
             AttemptStatus::Timeout | AttemptStatus::Cancelled if is_silent => self.eject(now),
             AttemptStatus::Timeout => {
                 self.load.raise_latency(TIMEOUT_FACTOR, &LATENCY_RATIO);
