--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -26,10 +26,10 @@
 const SECOND_PRIMARY_MARGIN: f64 = 1.5;
 /// Load, in requests, by which the best worker must exceed another for an instance to be added on the other.
 const SCALE_OUT_MARGIN: f64 = 1.0;
-/// Wait after which a request may start a load on a further worker, as a fraction (0 to 1) of its latency
+/// Wait after which a request may start a load on another worker, as a fraction (0 to 1) of its latency
 /// objective.
 const OVERFLOW_DELAY_FRACTION: f64 = 0.08;
-/// Fraction, 0 to 1, of the workers at capacity above which no request starts a load on a further worker.
+/// Fraction, 0 to 1, of workers at capacity above which no request starts a load on another worker.
 const OVERFLOW_MAX_AT_CAPACITY: f64 = 0.34;
 
 impl Policy {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Starts a load on a further worker or queues the request, because all loaded instances are at
+    /// Starts a load on another worker or queues the request, because all loaded instances are at
     /// capacity.
     ///
     /// The load may take less time than the wait for a loaded instance.
@@ -114,7 +114,8 @@
             && !self.cluster.is_load_awaited(request.function, self.now)
     }
 
-    /// Orders another instance if demand requires it and the next worker is clearly less loaded.
+    /// Orders the load of an instance on another worker if the demand requires it and that worker is clearly
+    /// less loaded than `best`.
     fn scale_out(&mut self, placement: &Placement, best: WorkerId) {
         let warm_workers = placement.candidates.iter().filter(|c| c.is_presumed_warm);
         let warm_workers = warm_workers.count();
@@ -161,8 +162,7 @@
 
     /// Returns the worker that is ordered to load a function which is loaded nowhere.
     fn load_order_target(&self, placement: &Placement) -> Option<WorkerId> {
-        // Bounds the search, so that load orders that fail for lack of memory do not proceed through all
-        // workers.
+        // The search is limited, so that a load that fails for lack of memory is not tried on all workers.
         let workers = placement.wanted_instances + PRIMARY_WORKERS;
         let first = placement.candidates.iter().take(workers);
         let may_load = |c: &&Candidate| {
--- a/src/policy/popularity.rs
+++ b/src/policy/popularity.rs
@@ -11,8 +11,8 @@
 
 /// Number of buckets in the popularity window.
 ///
-/// With [`BUCKET_LENGTH`], it makes the window of ten seconds, ranked again every two, of DESIGN. PAPER has
-/// a moving window without a length.
+/// Together with [`BUCKET_LENGTH`], it gives the window of DESIGN: ten seconds, with a new ranking every
+/// two. PAPER has a moving window, but does not state its length.
 const BUCKETS: usize = 5;
 /// Minimum length of a bucket (DESIGN); a bucket lasts longer where requests are few.
 const BUCKET_LENGTH: Span = Span::from_millis(2000);
@@ -21,10 +21,10 @@
 /// Fraction, 0 to 1, of the memory of one worker that gold functions may fill.
 ///
 /// This is the alpha of PAPER, which uses 20% in its example and 20% and 25% in its simulations. DESIGN has
-/// 20% and leaves alpha open.
+/// 20% and leaves the value of alpha open.
 const GOLD_MEMORY_FRACTION: f64 = 0.05;
 /// Number of consecutive rankings on the other side of the boundary after which a function enters or leaves
-/// gold.
+/// the gold tier.
 ///
 /// The number is from DESIGN ("entered after two top re-ranks, left after two below"); PAPER has no
 /// hysteresis.
--- a/src/policy/prewarm.rs
+++ b/src/policy/prewarm.rs
@@ -10,7 +10,7 @@
 /// keep-alive time.
 ///
 /// It leaves time to repeat an order that fails. DESIGN asks for renewal before the keep-alive time ends,
-/// without a margin.
+/// but states no margin.
 const RENEWAL_MARGIN: f64 = 0.3;
 /// Number of load orders that may be in progress on a worker.
 ///
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Returns whether an instance is to be loaded or renewed, and this scheduler of the fleet is
-    /// responsible for it.
+    /// Returns whether an instance is to be loaded or renewed by this scheduler.
+    ///
+    /// One scheduler of the fleet is responsible for each pair of worker and function.
     fn needs_prewarm(&self, worker: WorkerId, function: FunctionId) -> bool {
         let schedulers = u64::from(self.settings.scheduler_count.max(1));
         let owner = mix64(function.0.rotate_left(32) ^ worker.0) % schedulers;
@@ -43,7 +44,8 @@
         let worker = &self.cluster.workers[&worker];
         let instance = worker.instance(function);
         let margin = self.settings.loading.keep_alive.mul_f64(RENEWAL_MARGIN);
-        // The first order starts a load; one at a time for each worker and function avoids overload.
+        // An order for an instance that is not loaded starts a load. To avoid overload, it is given only if
+        // neither the worker nor the function has a load in progress.
         let is_only_load = || worker.ordered_loads(self.now) == 0 && self.pending_loads(function) == 0;
         !instance.is_loaded(self.now + margin)
             && !worker.health.ejection.is_active(self.now)
@@ -56,8 +58,10 @@
             .pending_loads(function, self.now, LOAD_ORDER_MAX_WAIT)
     }
 
-    /// Returns whether a load may be ordered: the worker is ready and has a free slot, and the rate limit
-    /// allows it.
+    /// Returns whether a load may be ordered.
+    ///
+    /// The site must permit load orders, the worker must be available and have few enough loads in progress,
+    /// the instance must have no order in progress and no active backoff, and the rate limit must allow it.
     pub(super) fn may_load(&self, worker: &Worker, function: FunctionId) -> bool {
         let instance = worker.instance(function);
         let is_bronze = self.is_bronze(function);
