--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of one scheduler, as a state machine without clock, I/O or threads.
+//! A state machine that makes the decisions of one scheduler, without clock, I/O or threads.
 //!
-//! Its events, actions and settings are defined in `src/model/mod.rs`, its knowledge of the cluster in
-//! `src/cluster/mod.rs`.
+//! Its events, actions and settings are defined in `src/model/mod.rs`. What it knows about the cluster is
+//! recorded by `src/cluster/mod.rs`.
 //!
 //! This file holds the state, dispatches events and timers, and runs the periodic maintenance. Each kind of
 //! decision is in a module of its own, which adds methods to [`Policy`]:
@@ -29,9 +29,9 @@
 //! platform.
 //!
 //! Three quantities come from the paper: `popularity::GOLD_MEMORY_FRACTION` is its alpha,
-//! `popularity::SILVER_REQUESTS` stands for its threshold T2, and `popularity::BUCKETS` with `BUCKET_LENGTH`
-//! make its moving window. None has the figure that the paper uses. All other constants are additions of
-//! DESIGN or of this program.
+//! `popularity::SILVER_REQUESTS` takes the place of its threshold T2, and `popularity::BUCKETS` with
+//! `BUCKET_LENGTH` define its moving window. None of them has the value that the paper uses. All other
+//! constants are additions of DESIGN or of this program.
 
 mod admission;
 mod candidates;
@@ -62,7 +62,7 @@
 const MAINTENANCE_INTERVAL: Span = Span::from_millis(200);
 /// Half-life of the load of other schedulers that workers have reported.
 const REPORT_HALF_LIFE: Span = Span::from_millis(4000);
-/// Time constant of the decaying average of the rate of completed work.
+/// Time constant of the decaying sum of completed work.
 const WORK_TIME_CONSTANT: Span = Span::from_millis(5000);
 /// Initial baseline latency of a class, as a fraction of its latency objective.
 const INITIAL_BASELINE_FRACTION: f64 = 0.25;
@@ -70,7 +70,7 @@
 /// and the number of doublings.
 const BACKOFF: ExponentialBackoff = ExponentialBackoff::new(Span::from_millis(400), 4);
 
-/// The purpose of a timer. Timers that expire at the same time run in the order of the variants.
+/// The purpose of a timer. Timers that expire at the same time fire in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Maintenance,
@@ -193,7 +193,7 @@
         self.prewarm_gold();
     }
 
-    /// Drops the records that are older than every window, and decays the averages.
+    /// Drops the records that have left their windows, and decays the sums.
     fn expire_old_records(&mut self) {
         let limits = &self.settings.safety_limits;
         let rate_window = limits.load_rate_limit.map_or(Span(0), |limit| limit.window);
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -50,7 +50,7 @@
         let request = self.cluster.requests.get_mut(&id);
         let Some(request) = request else { return };
         request.end_attempt(attempt, outcome.status);
-        // After any other status, another attempt on this worker would most likely fail again, and at once.
+        // After any other status, another attempt on this worker would most likely fail again immediately.
         if !matches!(
             outcome.status,
             AttemptStatus::Reset | AttemptStatus::Expired | AttemptStatus::NotSent
@@ -58,8 +58,8 @@
             request.failed_workers.push(attempt.endpoint.worker);
         }
         let first_run = request.first_run();
-        // Attempts were not sent because this process lacks a resource, which another attempt at once would
-        // lack too.
+        // Several attempts in a row that were not sent show that this process lacks a resource, which an
+        // immediate retry would lack, too.
         let is_out_of_resources = request.consecutive_unsent() > 1;
         let is_out_of_time = outcome.status == AttemptStatus::Timeout || self.now >= request.deadline;
         if outcome.status == AttemptStatus::Miss {
@@ -76,8 +76,8 @@
 
     /// Orders the load of an instance that was missed while the request tries other workers.
     ///
-    /// This applies where this scheduler has too few requests of its own to show where instances are,
-    /// although the requests of all schedulers need the instance.
+    /// The load is ordered only if this scheduler has too few requests of its own to show where instances are
+    /// loaded. The requests of all schedulers together may need the instance nevertheless.
     fn load_missing_instance(&mut self, attempt: &Attempt) {
         let function = self.cluster.functions.get(&attempt.function);
         if function.is_some_and(|f| self.demand(f, attempt.class).is_sparsely_sampled) {
@@ -99,7 +99,7 @@
         self.may_retry(request.class, request.first_run()) && request.first_run().is_none_or(permits)
     }
 
-    /// Cancels the attempts in flight on a lost worker that may be retried elsewhere.
+    /// Cancels the attempts in flight on an ejected worker, if their requests may be retried.
     pub(super) fn cancel_attempts(&mut self, worker: WorkerId) {
         for (id, attempt) in self.cluster.attempts_on(worker) {
             let request = &self.cluster.requests[&id.request];
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,21 +7,22 @@
 
 /// Fraction, 0 to 1, of its budget (page WIRE, rule 4) that a worker is sent.
 const BUDGET_FRACTION: f64 = 0.7;
-/// Probability, 0 to 1, that a request beyond the budget is admitted, for each multiple of the usual traffic
-/// of a warm worker that the worker can take.
+/// Probability, 0 to 1, that a request beyond the budget is admitted, per multiple of the usual traffic of a
+/// warm worker that the worker tolerates.
 ///
 /// At 0.12, new workers stay idle.
 const ADMISSION_PROBABILITY: f64 = 0.25;
 
 impl Policy {
-    /// Returns how long ago a worker that is still warming up started.
+    /// Returns how long ago a worker started, or `None` if it is not warming up any more.
     pub(super) fn warm_up_age(&self, worker: &Worker) -> Option<Span> {
         let age = self.now - worker.started_at()?;
         Some(age).filter(|age| *age < self.settings.safety_limits.warm_up_duration)
     }
 
-    /// Returns whether a request is within the fraction of the capacity of a worker that this scheduler may
-    /// use.
+    /// Returns whether slow start permits sending a request to a worker.
+    ///
+    /// A worker that is warming up has a budget, which grows with its age; any other worker is not limited.
     pub(super) fn slow_start_admits(&self, id: RequestId, class: usize, worker: &Worker) -> bool {
         let Some(age) = self.warm_up_age(worker) else {
             return true;
