--- a/src/scheduler/invariants.rs
+++ b/src/scheduler/invariants.rs
@@ -3,8 +3,8 @@
 //!
 //! A violation means that an earlier check has admitted what it must deny. The earlier checks are
 //! [`request_admission`](super::request_admission) for accepted requests and
-//! [`write_admission`](super::write_admission) for written and repeated attempts. For closed connections it
-//! is the reactor, which has a client connection answer its open requests before it closes the connection.
+//! [`write_admission`](super::write_admission) for written and repeated attempts. For closed connections, the
+//! reactor has a client connection answer its open requests before it closes the connection.
 
 use super::{AttemptId, RequestOrigin, Scheduler};
 use crate::model::{RequestId, Span, Time};
@@ -14,8 +14,8 @@
 /// Time after a request's deadline from which its final response counts as lost: half a second (page
 /// STANDING), plus the 50 ms by which every time limit is longer on sockets (page PROTOCOL).
 const RESPONSE_SLACK: Span = Span::from_millis(550);
-/// Maximum time by which the time limit given to a worker may exceed the client's remaining time (page
-/// TERMS).
+/// Maximum time by which the time limit given to a worker may exceed the client's remaining time
+/// (operators' terms of 2026-12-02).
 const TIME_LIMIT_SLACK: Span = Span::from_millis(150);
 
 /// A violated invariant, with the id of the request, attempt or origin concerned.
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Returns the invariant that an attempt violates whose last byte has been written.
+    /// Returns the invariant, if any, that an attempt violates when its last byte has been written.
     fn find_write_violation(&self, now: Time, id: AttemptId) -> Option<Violation> {
         let Some(attempt) = self.attempts.get(id) else {
             return Some(Violation::WrittenAfterEnd(id));
--- a/src/scheduler/write_admission.rs
+++ b/src/scheduler/write_admission.rs
@@ -18,7 +18,8 @@
 const DEDUPLICATION_MARGIN: Span = Span::from_millis(50);
 
 /// Maximum time between the first and the last byte of an attempt. The time limit is encoded with the first
-/// byte and must not exceed the client's remaining time by more than 150 ms (page TERMS).
+/// byte and must not exceed the client's remaining time by more than 150 ms (operators' terms of
+/// 2026-12-02).
 const MAX_WRITE_TIME: Span = Span::from_millis(100);
 
 /// The reason why an attempt or load order must not be written.
@@ -39,7 +40,7 @@
     /// An earlier attempt may have run, and the workers may have forgotten the idempotency key.
     #[error("the deduplication window has passed")]
     DeduplicationWindowPassed,
-    /// The worker must not receive new work.
+    /// The worker must not be sent new work.
     #[error(transparent)]
     WorkerUnavailable(#[from] WorkerUnavailable),
     /// No client has requested the function recently.
@@ -128,7 +129,7 @@
         Ok(())
     }
 
-    /// Checks whether a worker may receive new work.
+    /// Checks whether a worker may be sent new work.
     ///
     /// A change of the endpoint list takes effect when it is published, possibly long before it is received
     /// here. Therefore nothing is written once a worker is known to be draining, without a grace period. The
