--- a/src/scheduler/attempts.rs
+++ b/src/scheduler/attempts.rs
@@ -35,7 +35,7 @@
     }
 
     /// Records the load report in an attempt's response. The caller reports the response itself afterwards,
-    /// by [`Scheduler::attempt_ended`].
+    /// with [`Scheduler::attempt_ended`].
     ///
     /// A load report that lacks a metric of the settings is ignored, since the policy identifies values by
     /// position.
--- a/src/scheduler/command.rs
+++ b/src/scheduler/command.rs
@@ -21,14 +21,14 @@
 ///   queued, and the response that it awaits.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Give a client the final response to its request.
+    /// Gives a client the final response to its request.
     Respond {
         /// The connection and stream that the request came from.
         origin: RequestOrigin,
         /// The response.
         response: Response,
     },
-    /// Start an attempt.
+    /// Starts an attempt.
     Send {
         /// The attempt.
         attempt: AttemptId,
@@ -39,14 +39,14 @@
         /// When the command times out.
         deadline: Time,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     Cancel {
         /// The attempt.
         attempt: AttemptId,
         /// The worker that the attempt was sent to.
         worker: WorkerId,
     },
-    /// Order a worker to load a function.
+    /// Orders a worker to load a function.
     Load {
         /// The load order.
         order: LoadOrderId,
@@ -57,7 +57,7 @@
         /// Minimum number of loaded instances; 0 only queries how many are loaded.
         instances: u8,
     },
-    /// Check whether a worker is alive.
+    /// Checks whether a worker is alive.
     HealthCheck {
         /// The health check.
         check: HealthCheckId,
@@ -66,7 +66,7 @@
         /// When the command times out.
         deadline: Time,
     },
-    /// Order a worker to unload a function's idle instances.
+    /// Orders a worker to unload a function's idle instances.
     Unload {
         /// The worker.
         worker: WorkerId,
--- a/src/scheduler/counters.rs
+++ b/src/scheduler/counters.rs
@@ -67,7 +67,7 @@
     attempts_miss,
     /// Load orders admitted by the last check before their write.
     load_orders_written,
-    /// Load orders denied by the load rate limit at that check.
+    /// Load orders denied by the load rate limit at the last check before their write.
     load_orders_rate_limited,
     /// Health checks started for silent workers.
     health_checks,
--- a/src/scheduler/load_orders.rs
+++ b/src/scheduler/load_orders.rs
@@ -6,7 +6,7 @@
 use crate::model::{Event, FunctionId, LoadStatus, Time, WorkerId};
 
 impl Scheduler {
-    /// Returns the number of written load orders that the load rate limit keeps track of.
+    /// Returns the number of written load orders that the load rate limiter retains.
     pub fn retained_load_orders(&self) -> usize {
         self.load_rate_limiter.retained_load_orders()
     }
--- a/src/scheduler/load_rate_limiter.rs
+++ b/src/scheduler/load_rate_limiter.rs
@@ -3,11 +3,11 @@
 use crate::model::{LoadRateLimit, Span, Time};
 use std::collections::VecDeque;
 
-/// Time for which written load orders are kept while no limit is configured, so that they count if a new
+/// Time for which written load orders are retained while no limit is configured, so that they count if a new
 /// configuration sets one.
 const RETENTION_WITHOUT_LIMIT: Span = Span::from_millis(60_000);
 
-/// A sliding-window limiter of load orders, by the requests received in the same window.
+/// A sliding-window limiter of load orders, whose limit grows with the requests received in the same window.
 #[derive(Debug, Default)]
 pub(super) struct LoadRateLimiter {
     requests: VecDeque<Time>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns the number of written load orders that are kept.
+    /// Returns the number of written load orders that are retained.
     pub(super) fn retained_load_orders(&self) -> usize {
         self.load_orders.len()
     }
--- a/src/scheduler/request_table.rs
+++ b/src/scheduler/request_table.rs
@@ -9,7 +9,7 @@
 /// The client is guaranteed a final response whatever the policy does, and allows 50 ms beyond the deadline.
 const OVERDUE_GRACE: Span = Span::from_millis(20);
 
-/// Bodies of open requests may take the memory limit divided by this.
+/// Divisor of the memory limit; the quotient is the memory that the bodies of open requests may take.
 const BODY_MEMORY_DIVISOR: usize = 6;
 
 /// Memory limit in bytes until [`RequestTable::set_memory_limit`] is called.
--- a/src/scheduler/tests/attempts.rs
+++ b/src/scheduler/tests/attempts.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::model::LoadMetric;
 
-/// Creates a scheduler with three additional workers, whose workers report two load metrics.
+/// Creates a scheduler with three additional workers, whose settings name two load metrics.
 fn scheduler_with_load_metrics() -> Scheduler {
     let mut scheduler = test_scheduler();
     scheduler.site.load_metric_names = vec!["inflight".into(), "util".into()];
@@ -51,10 +51,7 @@
     let first = sent_attempt(&submit(&mut scheduler, 1, IDEMPOTENT_CLASS));
     scheduler.attempt_not_sent(at_millis(1), first.id);
     let second = sent_attempt(&drain_commands(&mut scheduler));
-    assert_eq!(
-        second.worker, first.worker,
-        "still the function's preferred worker"
-    );
+    assert_eq!(second.worker, first.worker, "still the function's primary worker");
     scheduler.attempt_ended(at_millis(2), second.id, connection_lost(WriteProgress::NotSent));
     let third = sent_attempt(&drain_commands(&mut scheduler));
     assert_ne!(third.worker, first.worker, "it refused a connection");
