--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -15,7 +15,7 @@
 /// Number of consecutive broken connections after which a worker is ejected.
 const MAX_RESETS: u32 = 3;
 /// Weight, 0 to 1, of an attempt in the saturation over all workers.
-const FLEET_SATURATION_WEIGHT: f64 = 0.1;
+const OVERALL_SATURATION_WEIGHT: f64 = 0.1;
 /// Weight, 0 to 1, of a latency in the baseline of its class.
 const BASELINE_WEIGHT: f64 = 0.02;
 /// Factor, above 1, by which a timeout raises the latency ratio of a worker.
@@ -115,7 +115,7 @@
         worker.record_error_rate(outcome.status, attempt, now);
         worker.record_failure(outcome.status, attempt, is_silent, now);
         let used = objective_used(attempt, outcome).unwrap_or(self.saturation.value());
-        self.saturation.update(used, FLEET_SATURATION_WEIGHT);
+        self.saturation.update(used, OVERALL_SATURATION_WEIGHT);
         if outcome.status == AttemptStatus::Ok {
             self.record_success(outcome, attempt, used);
         }
