--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -51,9 +51,9 @@
 const DRAIN_DELAY: Duration = Duration::from_millis(200);
 const OUTAGE: Duration = Duration::from_millis(8_000);
 /// How long a client waits for a response.
-const ALLOWED_MS: u64 = 2_000;
+const REQUEST_TIMEOUT_MS: u64 = 2_000;
 /// Time for the last responses, before the client leaves.
-const FINAL_RESPONSE_WAIT: Duration = Duration::from_millis(ALLOWED_MS);
+const FINAL_RESPONSE_WAIT: Duration = Duration::from_millis(REQUEST_TIMEOUT_MS);
 /// The fraction of the requests, 0 to 1, that the remaining workers have to serve late in the outage.
 const MIN_SERVED_FRACTION: f64 = 0.95;
 
@@ -145,7 +145,7 @@
                     break;
                 }
                 thread::sleep(at.saturating_duration_since(Instant::now()));
-                let payload = request_to_function(n % FUNCTIONS + 1, &request_id(n), ALLOWED_MS);
+                let payload = request_to_function(n % FUNCTIONS + 1, &request_id(n), REQUEST_TIMEOUT_MS);
                 output
                     .write_all(&frame(frame_type::REQUEST, n, &payload))
                     .unwrap();
