--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that cancel a request, close or half-close their connection: their requests are cancelled and get no
-//! response. Those of a client that sends malformed input are cancelled and failed.
+//! Tests of clients that cancel a request, or close or half-close their connection. Their requests are
+//! cancelled and get no response. Requests of a client that sends malformed input are cancelled and fail.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::{deploy, deploy_with_settings};
@@ -12,7 +12,7 @@
 use crate::support::worker_command::CommandKind;
 use crate::support::{IDEMPOTENT_CLASS, request_id};
 
-/// A cancelled request does not occupy its worker any longer.
+/// A cancelled request must not continue to occupy its worker.
 #[test]
 fn cancelled_request_is_cancelled_at_its_worker() {
     let (worker, _scheduler, mut client) = deploy();
@@ -39,8 +39,9 @@
     scheduler.assert_counters([("requests_received", 2), ("responses_served", 0)]);
 }
 
-/// Connects four clients that send a request each. The first cancels it, the second shuts down its half of the
-/// connection and the third closes it. Returns the fourth, whose request has the id 3.
+/// Connects four clients that send one request each. The first cancels its request, the second shuts down the
+/// write half of its connection, and the third closes its connection. Returns the fourth, whose request has
+/// the id 3.
 fn disconnect_three_of_four_clients(scheduler: &SchedulerProcess, allow_ms: u64) -> FrameClient {
     let mut clients: Vec<_> = (0..4).map(|_| FrameClient::connect(scheduler)).collect();
     for (n, client) in (0..).zip(&mut clients) {
@@ -55,8 +56,8 @@
     clients.remove(2)
 }
 
-/// The clients leave while their requests wait for a connection to be established; once it is, only the request of the
-/// remaining client is written.
+/// Clients disconnect while their requests wait for a connection to be established. Once it is, only the
+/// request of the remaining client is written.
 #[test]
 fn requests_of_disconnected_clients_are_not_written_to_a_new_connection() {
     let worker = FullBacklogWorker::new();
@@ -68,7 +69,8 @@
     scheduler.assert_counters([("attempts_written", 1), ("responses_served", 1)]);
 }
 
-/// The same while the requests wait in the policy, before any worker is in the endpoint list.
+/// Clients disconnect while their requests wait in the policy, before the endpoint list has a worker. Only
+/// the request of the remaining client is placed.
 #[test]
 fn requests_of_disconnected_clients_are_not_placed_when_a_worker_becomes_ready() {
     let worker = StandInWorker::node_agent();
@@ -87,8 +89,8 @@
     assert_eq!(scheduler.counter("attempts_written"), 1);
 }
 
-/// The first attempt's connection is closed and the client leaves in the same turn of the event loop: there is no
-/// second attempt.
+/// The worker closes the connection of the first attempt, and the client cancels or disconnects, in the same
+/// turn of the event loop. There is no second attempt.
 #[test]
 fn request_is_not_retried_for_a_client_that_left_in_the_same_turn() {
     for closes in [false, true] {
@@ -106,15 +108,20 @@
         scheduler.wait_for_counter("requests_cancelled", 1);
         other.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 20_000, b""));
         let mut next = worker.next_request();
-        assert_eq!(next.request_id(), request_id(2), "closes: {closes}");
+        assert_eq!(
+            next.request_id(),
+            request_id(2),
+            "client closes its connection: {closes}"
+        );
         next.succeed("eA==");
         other.expect_served(1, b"x");
         assert_eq!(scheduler.counter("attempts_written"), 2);
     }
 }
 
-/// A client with an open request sends malformed input: its connection ends with an error. The request was read, so it
-/// is owed its response before that, and is cancelled at its worker at once; no response follows the error.
+/// A client with an open request sends malformed input, so its connection ends with an error. The open
+/// request gets a response before the error and is cancelled at its worker at once. No response follows the
+/// error.
 #[test]
 fn request_is_failed_when_its_connection_ends_in_an_error() {
     let (worker, scheduler, mut client) = deploy();
@@ -123,7 +130,7 @@
     client.send_bytes(&[0; 4]);
     assert_eq!(client.next_frame(), Some(failed(1)));
     assert_eq!(client.next_frame(), Some(failed(0)));
-    // The client has not closed the connection: the scheduler cancels the request by itself.
+    // The client has not closed its connection, so the scheduler cancels the request on its own.
     other.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(2), 20_000, b""));
     worker.expect_command(CommandKind::Cancel, &request_id(1));
     command.succeed("eA==");
@@ -133,7 +140,8 @@
     assert_eq!(scheduler.counter("responses_served"), 1);
 }
 
-/// A request's deadline passes and its client cancels in the same turn of the event loop: there is no response.
+/// The deadline of a request passes and its client cancels it in the same turn of the event loop. There is no
+/// response.
 #[test]
 fn cancel_in_the_same_turn_as_the_deadline_gets_no_response() {
     let worker = StandInWorker::node_agent();
@@ -145,7 +153,7 @@
     client.send_idempotent(1, 500, b"");
     worker.next_request();
     scheduler.signal("STOP");
-    // Another scheduler's rejection shows that the deadline has passed.
+    // The rejection by another scheduler shows that the deadline has passed.
     timer.send_idempotent(1, 600, b"");
     timer.expect_rejection(1);
     client.send_cancel(1);
