--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on descriptors, and on the number of connections to a worker.
+//! Tests of the limits on descriptors and on connections to a worker.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::deploy_with_discovery;
@@ -25,11 +25,12 @@
     client.send_idempotent(1, 2900, b"x");
     client.expect_served(1, b"x");
     let descriptors = scheduler.open_descriptor_count();
-    assert!(descriptors <= 256, "{descriptors} descriptors");
+    assert!(descriptors <= 256, "{descriptors} open descriptors");
 }
 
-/// The process has no descriptor left for a client that waits to be accepted, and no further client connects: the
-/// client is accepted once a descriptor is free, and the lost watch of the discovery service is opened again.
+/// The process has no free descriptor for a client that waits to be accepted, and no further client connects.
+/// Once a descriptor is free, the client is accepted and the lost watch on the discovery service is opened
+/// again.
 #[test]
 fn waiting_client_is_accepted_once_a_descriptor_is_free() {
     let (_worker, discovery, scheduler, watch) = deploy_with_discovery(default_settings());
@@ -44,8 +45,9 @@
     let _watch = discovery.accept_from(1);
 }
 
-/// A client connects and sends its request while the system accepts nobody. Its time runs from then on: once it is accepted
-/// its worker must not be told of more time than it has left, 0.15 s aside.
+/// A client connects and sends its request while the scheduler cannot accept connections. The request's
+/// timeout runs from the time at which it was sent: the time limit given to the worker may exceed the
+/// remaining time by 0.15 s at most.
 #[test]
 fn time_before_accept_counts_against_the_request_timeout() {
     const ALLOWED_MS: u64 = 5_000;
@@ -65,12 +67,12 @@
     let time_limit_ms = command.message["attrs"]["ttl"].as_u64().unwrap();
     assert!(
         time_limit_ms + waited_ms <= ALLOWED_MS + SLACK_MS,
-        "{time_limit_ms} ms are told after {waited_ms} ms"
+        "the worker was given {time_limit_ms} ms after a wait of {waited_ms} ms"
     );
 }
 
-/// Each client has a request open, and the worker answers none: a third of the descriptors is the clients', and those
-/// beyond what there is are rejected. None is closed without a response.
+/// Each client has an open request, and the worker responds to none. A third of the descriptors is for
+/// clients. Clients beyond the descriptor limit are rejected, and no connection is closed without a response.
 #[test]
 fn clients_beyond_the_descriptor_limit_are_rejected_and_not_dropped() {
     const CLIENTS: u32 = 70;
@@ -79,8 +81,9 @@
     let scheduler = Configuration::new(&[worker.address()])
         .limits(json!({ "sockets": DESCRIPTORS }))
         .start();
-    // A connection without a request may be closed to free its descriptor, so that each has its request when the
-    // scheduler accepts it: however late the client's thread is let run between its connect and its request.
+    // A connection without a request may be closed to free its descriptor. The scheduler is paused so that
+    // each client has sent its request before it is accepted, even if its thread is delayed between
+    // connecting and sending.
     scheduler.signal("STOP");
     let connect = |n| {
         let mut client = FrameClient::connect(&scheduler);
@@ -95,11 +98,12 @@
     let received = scheduler.counter("requests_received") as usize;
     assert!(received >= DESCRIPTORS / 3, "{received} requests received");
     let descriptors = scheduler.open_descriptor_count();
-    assert!(descriptors <= DESCRIPTORS, "{descriptors} descriptors");
+    assert!(descriptors <= DESCRIPTORS, "{descriptors} open descriptors");
 }
 
-/// rennes-campus, case4356: a hundred schedulers opened a connection for each request in flight and filled the workers'
-/// connection tables; requests on further connections were rejected.
+/// In a large fleet, requests to one worker share connections. If a hundred schedulers open a connection for
+/// each request in flight, they fill the workers' connection tables, and requests on further connections are
+/// rejected (rennes-campus, case4356).
 #[test]
 fn requests_of_a_large_fleet_share_their_connections_to_a_worker() {
     for (scheduler_count, connections) in [(3, 6), (100, 1)] {
