--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -1,4 +1,5 @@
-//! A response ends only the attempt that it belongs to: repeated, late and unknown responses are ignored.
+//! Tests that a response ends only its own attempt, and that repeated, late and unknown responses are
+//! ignored.
 
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, failed, request, served};
@@ -7,7 +8,7 @@
 use crate::support::{IDEMPOTENT_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
 
-/// Workers could not tell two requests with the same id apart, even if they come from different clients.
+/// A worker cannot distinguish two open requests with the same id, even if they come from different clients.
 #[test]
 fn request_with_the_id_of_an_open_request_fails() {
     let (worker, scheduler, mut client) = deploy();
@@ -21,16 +22,17 @@
     assert!(worker.is_idle());
     other.send_request(2, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"b"));
     worker.next_command().succeed("Yg==");
-    assert_eq!(other.next_frame(), Some(served(2, b"b")), "the id is free again");
+    assert_eq!(other.next_frame(), Some(served(2, b"b")), "the id can be reused");
 }
 
-/// The late response to an expired request must not be taken for the response to a newer one with the same id.
+/// The late response to an expired request must not be mistaken for the response to a newer request with the
+/// same id.
 #[test]
 fn late_answer_of_an_expired_request_is_ignored() {
     let (worker, _scheduler, mut client) = deploy();
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 1000, b"a"));
     let mut old = worker.next_command();
-    // At its deadline it is rejected and not failed, because it is idempotent.
+    // An idempotent request is rejected at its deadline; it does not fail.
     client.expect_rejection(1);
     assert_eq!(worker.next_command().kind(), CommandKind::Cancel);
     client.send_request(2, &request(IDEMPOTENT_CLASS, REQUEST_ID, 2900, b"b"));
@@ -61,8 +63,8 @@
     client.assert_ready();
 }
 
-/// A worker answers the same attempt twice, and the second response comes when the request has been sent to it again:
-/// it does not end the new attempt.
+/// A worker responds twice to the same attempt. The second response arrives after the request was sent to it
+/// again, and does not end the new attempt.
 #[test]
 fn repeated_answer_does_not_end_the_next_attempt() {
     for status in [WorkerStatus::AtCapacity, WorkerStatus::Error, WorkerStatus::Miss] {
@@ -73,13 +75,13 @@
         let mut retry = worker.next_request();
         assert_eq!(retry.request_id(), request_id(1), "{status:?}");
         first.fail(status);
-        // A request on the same connection shows that the second response has been read.
+        // This request is sent on the same connection and shows that the second response has been read.
         client.send_idempotent(2, 5_000, b"");
         let mut other = worker.next_request();
         assert_eq!(
             other.request_id(),
             request_id(2),
-            "{status:?}: the new attempt goes on"
+            "{status:?}: the new attempt continues"
         );
         other.succeed("eQ==");
         client.expect_served(2, b"y");
