--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -1,18 +1,10 @@
-//! Workers that drain while the discovery service is out of reach.
+//! Tests with workers that drain while the discovery service is unreachable.
 //!
-//! What was seen: in a validation with faults, discovery was out of reach of every scheduler for longer than its clocks
-//! for silence. Two busy workers began to drain just after the outage had begun, and stayed up. The schedulers went on
-//! sending them attempts and load orders long after the drain counted as notified and the grace period was over.
-//!
-//! How it came about: a change that discovery cannot deliver counts as notified all the same, 4 s after the outage began
-//! at the latest. A draining worker rejects what is new, which looks like a worker at capacity: it is tried again after
-//! a short pause.
-//!
-//! Cause: the endpoint list was kept without its age. Placement, load orders and the check before a write asked only
-//! what the list had last said, however long ago that was.
-//!
-//! Proof: with nothing else at fault, on real processes, these tests send to the draining workers for as long as the
-//! outage lasts, and stop doing so where the age of the list is asked, too.
+//! A change that discovery cannot deliver counts as notified anyway, at most 4 s after the outage began. A
+//! draining worker rejects new work like a worker at capacity, which the scheduler retries after a short
+//! pause. A scheduler that ignores the age of its endpoint list therefore keeps sending attempts and load
+//! orders to draining workers after the grace period, for as long as the outage lasts. Placement, load orders
+//! and the check before a write must all consider the age of the list.
 
 use crate::support::configuration::Configuration;
 use crate::support::discovery::{StandInDiscovery, WatchConnection, heartbeat_frame};
@@ -38,26 +30,26 @@
 
 const WORKERS: usize = 6;
 const DRAINING_WORKERS: usize = 2;
-/// Functions that the clients call, each with another home among the workers.
+/// Number of functions that the clients call. Their primary workers differ.
 const FUNCTIONS: u32 = 12;
-/// What the settings allow after a drain has been notified.
+/// Grace period after the notification of a drain, as configured in the settings.
 const DRAIN_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// A change counts as notified so long after the beginning of the outage, at the latest (page PROTOCOL, "Figures").
+/// Time after the start of an outage by which a change counts as notified (page PROTOCOL, "Figures").
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
-/// How much longer every time limit is on real sockets (page PROTOCOL).
+/// Tolerance added to each time limit on real sockets (page PROTOCOL).
 const SLACK: Duration = Duration::from_millis(50);
-/// Traffic before the outage: the schedulers know which workers have which functions.
+/// Duration of the traffic before the outage, in which the scheduler learns where functions are loaded.
 const WARM_UP: Duration = Duration::from_millis(1_000);
+/// Time from the start of the outage to the start of the drain.
 const DRAIN_DELAY: Duration = Duration::from_millis(200);
 const OUTAGE: Duration = Duration::from_millis(8_000);
-/// How long a client waits for a response.
 const REQUEST_TIMEOUT_MS: u64 = 2_000;
-/// Time for the last responses, before the client leaves.
+/// Time that the client waits for the final responses before it closes its connection.
 const FINAL_RESPONSE_WAIT: Duration = Duration::from_millis(REQUEST_TIMEOUT_MS);
-/// The fraction of the requests, 0 to 1, that the remaining workers have to serve late in the outage.
+/// Minimum fraction, from 0 to 1, of the requests late in the outage that the remaining workers must serve.
 const MIN_SERVED_FRACTION: f64 = 0.95;
 
-/// A worker that can be told to drain: it then rejects new work, and keeps the times at which that came.
+/// Switch that makes a worker drain. A draining worker rejects new work and records when it arrived.
 #[derive(Clone, Default)]
 struct DrainSwitch {
     is_draining: Arc<AtomicBool>,
@@ -80,7 +72,7 @@
         Some(WorkerReply::failure(WorkerStatus::AtCapacity))
     }
 
-    /// New work that came later than this.
+    /// Returns the new work that arrived after `limit`.
     fn received_after(&self, limit: Instant) -> Vec<(Instant, Value)> {
         let mut new_work = self.new_work.lock().unwrap().clone();
         new_work.retain(|(at, _)| *at > limit);
@@ -88,7 +80,7 @@
     }
 }
 
-/// Six workers, of which two can drain, a discovery service, and a scheduler that watches it.
+/// Six workers, two of which can drain, a discovery service, and a scheduler that watches it.
 struct Deployment {
     draining: Vec<DrainSwitch>,
     discovery: StandInDiscovery,
@@ -125,14 +117,14 @@
     }
 }
 
-/// Requests at a steady rate on one connection.
+/// Traffic at a constant rate on one connection.
 struct Traffic {
     sender: thread::JoinHandle<Vec<(u32, Instant)>>,
     receiver: thread::JoinHandle<BTreeSet<u32>>,
 }
 
 impl Traffic {
-    /// Sends requests for so long; each function in turn.
+    /// Sends a request in each `interval` until `length` has passed, and calls the functions in turn.
     fn start(scheduler: &SchedulerProcess, interval: Duration, length: Duration) -> Traffic {
         let mut client = FrameClient::connect(scheduler);
         let mut output = client.stream.try_clone().unwrap();
@@ -167,26 +159,26 @@
         Traffic { sender, receiver }
     }
 
-    /// The fraction, 0 to 1, of the requests sent from then on that were served, once all have ended.
+    /// Waits for all requests to end; returns the fraction (0 to 1) served of those sent from `since` on.
     fn served_fraction_since(self, since: Instant) -> f64 {
         let mut sent = self.sender.join().unwrap();
         let served = self.receiver.join().unwrap();
         sent.retain(|(_, at)| *at >= since);
-        assert!(!sent.is_empty(), "requests are sent until the end");
+        assert!(!sent.is_empty(), "no request was sent late in the outage");
         let served_late = sent.iter().filter(|(n, _)| served.contains(n)).count();
         served_late as f64 / sent.len() as f64
     }
 }
 
-/// What discovery does while it is out of reach.
+/// Behaviour of the discovery service in an outage.
 enum OutageMode {
-    /// Connections stay open and silent, new ones too.
+    /// Open and new connections stay open but carry nothing.
     Silent,
-    /// Connections are closed, and new ones are refused.
+    /// Open connections are closed, and new ones are refused.
     Refusing,
 }
 
-/// Two of six workers begin to drain in an outage of discovery, with a request in each interval.
+/// Asserts that workers that drain in an outage get no new work after the grace period, and the others serve.
 fn assert_draining_workers_get_no_new_work(mode: &OutageMode, interval: Duration) {
     let Deployment {
         draining,
@@ -198,7 +190,7 @@
     thread::sleep(WARM_UP);
     watch.send(&heartbeat_frame(1));
     let outage_began_at = Instant::now();
-    // In the silent case both stay open to the end of the test.
+    // In the silent mode both stay open until the end of the test.
     let mut open = Some((discovery, watch));
     if matches!(mode, OutageMode::Refusing) {
         open = None;
@@ -216,7 +208,7 @@
     let first = late.first().map(|(at, work)| (*at - outage_began_at, work));
     assert!(
         late.is_empty(),
-        "{} to draining workers, first {first:?}",
+        "draining workers received {} commands too late, the first was {first:?}",
         late.len()
     );
     assert!(
@@ -235,21 +227,21 @@
     assert_draining_workers_get_no_new_work(&OutageMode::Refusing, Duration::from_millis(250));
 }
 
-/// Settings under which the endpoint list is stale soon after the start, unless discovery confirms it.
+/// Returns settings under which the endpoint list soon becomes stale unless discovery confirms it.
 fn short_grace_settings() -> Value {
     let mut settings = default_settings();
     settings["contract"]["drainGraceNs"] = json!(100_000_000);
     settings
 }
 
-/// Whether a response has a field of this name.
+/// Returns whether a response has a field with this name.
 fn has_field(response: &ReceivedFrame, name: &str) -> bool {
     let name = [&[name.len() as u8][..], name.as_bytes()].concat();
     response.payload.windows(name.len()).any(|bytes| bytes == name)
 }
 
-/// Without evidence the rule goes before the request: the client is told at once when to come back. The log alone says
-/// what happened, and service comes back with the next heartbeat.
+/// While no worker is confirmed, requests are rejected at once with a retry delay. The log states the cause,
+/// and service resumes once a new discovery service confirms the list.
 #[test]
 fn requests_are_rejected_at_once_while_no_worker_is_confirmed() {
     let worker = StandInWorker::node_agent();
@@ -265,10 +257,10 @@
     for n in 1..=3 {
         let sent_at = Instant::now();
         client.send_idempotent(n, 2_900, b"x");
-        let response = client.next_response().expect("a response comes");
+        let response = client.next_response().expect("a response");
         assert_eq!((response.stream, response.code()), (n, code::REJECTED));
         assert!(has_field(&response, "cooldown"), "{response:?}");
-        assert!(sent_at.elapsed() < Duration::from_millis(900), "at once");
+        assert!(sent_at.elapsed() < Duration::from_millis(900), "rejected late");
     }
     scheduler.assert_counters([
         ("endpoint_list_stale", 1),
@@ -285,7 +277,7 @@
     client.expect_served(4, b"x");
 }
 
-/// Workers of the operator's file are not published by discovery, so their entries do not age.
+/// Workers in the operator's file are not published by discovery, so their leases do not expire.
 #[test]
 fn a_worker_of_the_operators_file_serves_without_discovery() {
     let folder = TempFolder::new();
