--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! The watch of the endpoint list: resuming, silence, moves to another address, and what its events do to requests.
+//! Tests of the watch on the endpoint list: resumption, silence, address changes, and the effect of its
+//! events on requests.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::deploy_with_discovery;
@@ -15,7 +16,7 @@
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Starts a scheduler that watches this discovery service.
+/// Starts a scheduler that watches the discovery service at `discovery`.
 fn start_watching(settings: Value, worker: SocketAddr, discovery: SocketAddr) -> SchedulerProcess {
     Configuration::new(&[worker])
         .settings(settings)
@@ -23,7 +24,7 @@
         .start()
 }
 
-/// Reloads the configuration with another address of the discovery service.
+/// Reloads the configuration with `address` as the address of the discovery service.
 fn move_discovery(scheduler: &SchedulerProcess, address: SocketAddr) {
     scheduler.apply_change(|config| config["bus"] = json!(address.to_string()));
 }
@@ -41,14 +42,14 @@
     scheduler.wait_for_counter("endpoint_updates", 3);
     drop(watch);
     let mut watch = discovery.accept();
-    assert_eq!(watch.offset, 3, "from the last event");
+    assert_eq!(watch.offset, 3, "the watch resumes after the last event");
     let old_event = delta_event(3, 1, first.address(), WorkerState::Ready);
     let bad_frame = vec![0, 0, 0, 1];
     watch.send(&[old_event, bad_frame].concat());
     let watch = discovery.accept();
     assert_eq!(
         watch.offset, 3,
-        "an old event changes nothing, and a bad frame ends the connection"
+        "a repeated event is ignored, and a malformed frame closes the connection"
     );
     let commands = second.serve(echo);
     let mut client = FrameClient::connect(&scheduler);
@@ -56,12 +57,12 @@
         client.send_idempotent(n, 2900, b"x");
         client.expect_served(n, b"x");
     }
-    assert!(first.is_idle(), "nothing new to the draining worker");
+    assert!(first.is_idle(), "the draining worker received a new request");
     assert_eq!(commands.count(CommandKind::Run), 19);
 }
 
-/// The connection to a discovery service that is cut off stays open and silent, without the empty frames that show
-/// that it is alive.
+/// The connection to an unreachable discovery service stays open but carries no heartbeats. The scheduler
+/// opens a new connection.
 #[test]
 fn silent_watch_is_replaced() {
     let (_worker, discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
@@ -71,7 +72,8 @@
     scheduler.wait_for_log("watch connection silent");
 }
 
-/// A service that sends heartbeats but withholds events is no better than a silent one.
+/// A heartbeat names the offset of the latest event. If events up to that offset have not arrived, the
+/// scheduler opens a new connection.
 #[test]
 fn watch_whose_heartbeats_report_missing_events_is_replaced() {
     let (_worker, discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
@@ -87,8 +89,8 @@
     sender.join().unwrap();
 }
 
-/// A machine is gone and a new one has its address, but no event has reported the old one gone. Requests sent to the
-/// old id would reach the new machine and not count against its slow start.
+/// A new worker takes over the address of an old one that no event has reported gone. Requests sent to the
+/// old worker id would reach the new worker without counting against its slow start.
 #[test]
 fn new_worker_at_an_old_address_replaces_the_old_one() {
     let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(large_fleet_settings());
@@ -106,10 +108,10 @@
     for n in 20..60 {
         assert!(
             serve_request(n) > old_connection,
-            "request {n} went to the old id"
+            "request {n} was sent to the old worker id"
         );
     }
-    // Late events about the old worker do not affect the new one.
+    // Late events for the old worker id do not affect the new worker.
     let draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
     let gone = delta_event(4, 1, worker.address(), WorkerState::Gone);
     watch.send(&[draining, gone].concat());
@@ -117,8 +119,8 @@
     serve_request(60);
 }
 
-/// An event is cut off in the middle and arrives complete, and twice, on the next connection. Its full list omits the
-/// worker for whose connection a request waits: the request goes to the other worker.
+/// A snapshot is truncated on the first connection and arrives complete, and twice, on the next. It omits the
+/// worker to which a request waits to be sent, so the request is placed on the other worker.
 #[test]
 fn request_is_placed_again_when_a_snapshot_omits_its_worker() {
     let omitted = FullBacklogWorker::new();
@@ -133,7 +135,7 @@
     watch.send(&full_list[..30]);
     drop(watch);
     let mut watch = discovery.accept();
-    assert_eq!(watch.offset, 1, "an incomplete event does not count");
+    assert_eq!(watch.offset, 1, "an incomplete event does not advance the offset");
     watch.send(&[&full_list[..], &full_list].concat());
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut connection = omitted.accept_pending();
@@ -145,8 +147,8 @@
     connection.assert_nothing_received();
 }
 
-/// SIGHUP moves the discovery service while the connection to the old one is being established, or while the scheduler
-/// waits to try again.
+/// A reload changes the address of the discovery service while the connection to the old address is being
+/// established, or while the scheduler waits to reconnect.
 #[test]
 fn discovery_address_change_takes_effect_at_once() {
     let unaccepting = FullBacklogWorker::new();
@@ -171,7 +173,8 @@
     }
 }
 
-/// Events of the old discovery service after the move are ignored, also if they are already in the socket buffer.
+/// Events of the old discovery service are ignored after the address change, even if they are already in the
+/// socket buffer.
 #[test]
 fn events_of_the_old_discovery_after_the_move_are_ignored() {
     let (worker, _discovery, scheduler, mut old_watch) = deploy_with_discovery(default_settings());
@@ -179,7 +182,7 @@
     let moved = StandInDiscovery::new();
     move_discovery(&scheduler, moved.address());
     let mut watch = moved.accept_from(1);
-    // The old service reports the worker gone; the new one has another event under the same number.
+    // The old service reports the worker gone; the new service sends a different event with the same offset.
     old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
     watch.send(&delta_event(2, 2, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
