--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of the frame protocol.
+//! Tests of requests and responses on the frame frontend.
 
 use crate::support::deployment::deploy;
 use crate::support::frame_client::{
@@ -8,7 +8,7 @@
 use crate::support::{IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
 
-/// The bytes before the body of a request with a body of 256 bytes, as the protocol page defines them.
+/// Encoding, up to the body, of a request with a body of 256 bytes, as the protocol page defines it.
 const REQUEST_WITHOUT_BODY: &[&[u8]] = &[
     b"\x00\x00\x01\xaa", // length: 426 bytes follow
     b"\x00",             // type: request
@@ -32,7 +32,7 @@
     let encoded = frame(frame_type::REQUEST, 1, &payload);
     assert_eq!(
         encoded, bytes,
-        "the encoder that the tests use follows the protocol page"
+        "the encoder of the tests differs from the protocol page"
     );
     for byte in bytes {
         client.send_bytes(&[byte]);
@@ -80,7 +80,8 @@
     client.expect_served(9, b"x");
 }
 
-/// A request arrives in pieces shortly before its connection would be closed as idle: the connection stays open.
+/// Part of a request arrives shortly before its connection would be closed as idle. The connection stays
+/// open.
 #[test]
 fn connection_is_not_closed_as_idle_during_a_partial_request() {
     let (worker, scheduler, mut client) = deploy();
@@ -88,7 +89,8 @@
     let mut timer = FrameClient::connect(&scheduler);
     client.send_idempotent(1, 3_000, b"x");
     client.expect_served(1, b"x");
-    // Requests that no worker answers serve as timers: they are rejected after 4.2 s, and 1.2 s later.
+    // Requests that get no response from a worker serve as timers: one is rejected after 4.2 s, the next
+    // 1.2 s later.
     let mut wait_ms = |stream: u32, milliseconds| {
         let unserved = request(KEYED_CLASS, &request_id(100 + stream), milliseconds, b"");
         timer.send_request(stream, &unserved);
