--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -1,4 +1,4 @@
-//! The same requests get the same responses and cause the same worker commands on both frontends.
+//! Tests that the same requests get the same responses and cause the same worker commands on both frontends.
 
 use crate::support::configuration::Configuration;
 use crate::support::frame_client::{self, FrameClient, ReceivedFrame, code};
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// How a worker responds to a request, which it reads from the request's body.
+/// Behaviour of a worker towards a request, selected by the request's body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Scenario {
     Served,
@@ -21,7 +21,7 @@
 }
 
 impl Scenario {
-    /// The body that a client of the frame protocol sends.
+    /// Returns the body that a client of the frame frontend sends.
     fn body(self) -> &'static [u8] {
         match self {
             Scenario::Served => b"hi",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The same body in base64.
+    /// Returns [`Scenario::body`] in base64.
     fn base64_body(self) -> &'static str {
         match self {
             Scenario::Served => "aGk=",
@@ -46,7 +46,7 @@
     }
 }
 
-/// Returns a worker's reply to a request, by its body.
+/// Returns a worker's reply to a command, selected by its body.
 fn reply_by_body(command: &ReceivedCommand) -> Option<WorkerReply> {
     if command.kind() != CommandKind::Run {
         return echo(command);
@@ -59,7 +59,7 @@
     }
 }
 
-/// One request of the comparison.
+/// Request that is sent over both frontends.
 struct TestRequest {
     class: &'static str,
     id: String,
@@ -67,8 +67,8 @@
     scenario: Scenario,
 }
 
-/// Returns 160 requests. Every third is keyed. In each forty one finds the worker full and one ends in an error; in the
-/// first forty one gets no response.
+/// Returns 160 requests, every third of them keyed. Of each 40 requests, one finds the worker at capacity and
+/// one ends in an error. One of the first 40 gets no response from the worker.
 fn test_requests() -> Vec<TestRequest> {
     let test_request = |n: u32| {
         let scenario = match n % 40 {
@@ -92,8 +92,8 @@
     (0..160).map(test_request).collect()
 }
 
-/// Returns a burst of unanswered requests that occupies all instances of the first worker, so that a load is ordered
-/// from the other.
+/// Returns a burst of requests that get no response from the worker. They occupy all instances of the first
+/// worker, so that the other worker gets a load order.
 fn unanswered_burst() -> Vec<TestRequest> {
     let unanswered = |n: u32| TestRequest {
         class: IDEMPOTENT_CLASS,
@@ -104,7 +104,7 @@
     (1000..1012).map(unanswered).collect()
 }
 
-/// The final response to a request, whichever frontend gave it.
+/// Final response to a request, independent of the frontend.
 #[derive(Debug, PartialEq, Eq)]
 enum FinalResponse {
     Served(Vec<u8>),
@@ -134,7 +134,7 @@
     }
 }
 
-/// A client of either frontend.
+/// Client of either frontend.
 trait TestClient {
     fn send_test_request(&mut self, number: u32, request: &TestRequest);
     fn receive_response(&mut self) -> FinalResponse;
@@ -148,7 +148,7 @@
     }
 
     fn receive_response(&mut self) -> FinalResponse {
-        FinalResponse::of_frame(&self.next_frame().expect("a response comes"))
+        FinalResponse::of_frame(&self.next_frame().expect("a response"))
     }
 }
 
@@ -165,18 +165,19 @@
     }
 }
 
-/// The responses and worker commands that the requests led to on one frontend.
+/// Responses and worker commands that the requests caused on one frontend.
 #[derive(Debug, PartialEq, Eq)]
 struct Observation {
     responses: Vec<FinalResponse>,
     commands: BTreeMap<CommandKind, usize>,
 }
 
-/// Sends all requests to a new scheduler over the frontend that `connect` connects to.
+/// Sends all requests to a new scheduler over the frontend that `connect` connects to, and returns what they
+/// caused.
 fn observe<C: TestClient>(connect: impl Fn(&SchedulerProcess) -> C) -> Observation {
     let workers = [StandInWorker::node_agent(), StandInWorker::node_agent()];
-    // With little memory no function is kept loaded on all workers. Such loads are repeated on a timer, so their number
-    // would depend on the speed of the machine.
+    // The small memory keeps functions from being loaded on all workers. Such loads are repeated on a timer,
+    // so their number would depend on the speed of the machine.
     let mut settings = default_settings();
     settings["familyInfo"]["memoryMbByKind"] = json!([1000.0]);
     let scheduler = Configuration::new(&[workers[0].address(), workers[1].address()])
@@ -222,5 +223,9 @@
         .iter()
         .filter(|response| **response == FinalResponse::Rejected)
         .count();
-    assert_eq!(rejected, 4 + 4 + 1, "full, error and silence");
+    assert_eq!(
+        rejected,
+        4 + 4 + 1,
+        "rejections by a full worker, an error and no response"
+    );
 }
