--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC frontend: messages, batches, errors, limits and its socket.
+//! Tests of the JSON-RPC frontend: messages, batches, errors, limits and its socket.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::deploy_jsonrpc;
@@ -52,7 +52,7 @@
     ids.sort();
     assert_eq!(ids, ["\"b\"", "1", "null"]);
     let requests = commands.count(CommandKind::Run);
-    assert_eq!(requests, 2, "a request sent as a notification is not taken");
+    assert_eq!(requests, 2, "a request sent as a notification is ignored");
 }
 
 #[test]
@@ -85,11 +85,12 @@
     assert_eq!(
         half.next_message()["error"]["code"],
         -32700,
-        "the line has no end"
+        "the line has no terminator"
     );
 }
 
-/// A line must be complete within a time limit; a connection without a request is closed when a new client needs one.
+/// A line must be complete within a time limit. An idle connection is closed when a new client needs its
+/// place.
 #[test]
 fn incomplete_line_times_out_and_idle_clients_are_closed_for_new_ones() {
     let worker = StandInWorker::node_agent();
@@ -112,7 +113,8 @@
     }
 }
 
-/// A client that does not read must neither fill the scheduler's memory nor stall once it reads again.
+/// A client that does not read its responses must not fill the scheduler's memory, and must get all of them
+/// once it reads again.
 #[test]
 fn unread_output_applies_backpressure_to_input() {
     let (_worker, scheduler, mut client) = deploy_jsonrpc(default_settings());
@@ -164,7 +166,7 @@
     client.send_line(r#"{"jsonrpc":"2.0","method":"cancel","params":{"id":1}}"#);
     client.expect_error(-32004);
     command.succeed("");
-    // The id that the cancelled request had is free again.
+    // The id of the cancelled request can be reused.
     client.send(&request(&json!(1), IDEMPOTENT_CLASS, &request_id(2), 2900, ""));
     worker.next_command();
     drop(client);
@@ -184,11 +186,14 @@
         !run_to_exit(&folder, &config, &format!("[jsonrpc]\nsocket = {path:?}\n")).success()
     };
     std::fs::write(&path, "precious").unwrap();
-    assert!(start_fails(), "the file is no socket");
+    assert!(
+        start_fails(),
+        "the start succeeded over a file that is not a socket"
+    );
     assert_eq!(std::fs::read_to_string(&path).unwrap(), "precious");
     std::fs::remove_file(&path).unwrap();
     let listener = UnixListener::bind(&path).unwrap();
-    assert!(start_fails(), "another process listens on it");
+    assert!(start_fails(), "the start succeeded over a socket in use");
     drop(listener);
     let mut scheduler = Configuration::new(&[worker.address()])
         .operator_file(|_| format!("[jsonrpc]\nsocket = {path:?}\nmode = \"600\"\n"))
@@ -200,5 +205,5 @@
     JsonRpcClient::connect_to(&path);
     scheduler.signal("TERM");
     scheduler.wait_for_exit();
-    assert!(!path.exists(), "removed at the end");
+    assert!(!path.exists(), "the socket is removed on exit");
 }
