--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that speak JSON-RPC on Unix sockets.
+//! Tests of workers that speak JSON-RPC on Unix sockets.
 
 use crate::support::configuration::Configuration;
 use crate::support::frame_client::FrameClient;
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-/// Starts a scheduler whose only workers speak JSON-RPC on these sockets.
+/// Starts a scheduler whose only workers speak JSON-RPC on the sockets at `worker_paths`.
 fn start(settings: Value, worker_paths: &[PathBuf]) -> SchedulerProcess {
     let worker =
         |(n, path): (usize, &PathBuf)| format!("[[checkers]]\nid = \"s-0000c00{n}\"\nsocket = {path:?}\n");
@@ -24,7 +24,7 @@
         .start()
 }
 
-/// Duplicate ids and unreadable responses are treated as with node agents.
+/// Duplicate ids and unreadable responses are handled in the same way as with node agents.
 #[test]
 fn duplicate_id_and_unreadable_response_do_not_affect_other_requests() {
     let folder = TempFolder::new();
@@ -67,7 +67,7 @@
     assert_eq!(worker.next_command().kind(), CommandKind::Cancel);
 }
 
-/// What the workers have received while their requests stay unanswered.
+/// Commands that the workers have received while their requests have no response.
 #[derive(Default)]
 struct ReceivedWhileSilent {
     requests: Vec<ReceivedCommand>,
@@ -76,7 +76,7 @@
 }
 
 impl ReceivedWhileSilent {
-    /// Keeps a request unanswered; answers a health check or a load.
+    /// Stores a request without a response, and responds to a health check or a load.
     fn handle_command(&mut self, mut command: ReceivedCommand) {
         match command.kind() {
             CommandKind::Run => self.requests.push(command),
@@ -90,11 +90,11 @@
                 self.loads += 1;
                 command.succeed("");
             }
-            other => panic!("{other:?}"),
+            other => panic!("unexpected command: {other:?}"),
         }
     }
 
-    /// Takes commands until each kind has come, and this many requests.
+    /// Handles commands until a health check, a load and `requests` requests have arrived.
     fn wait_for(&mut self, workers: &[StandInWorker], requests: usize) {
         let start = Instant::now();
         while self.health_checks == 0 || self.loads == 0 || self.requests.len() < requests {
@@ -125,7 +125,8 @@
     for n in 0..12 {
         client.send_idempotent(n, 60_000, "");
     }
-    // The home leaves its requests unanswered and gets a health check; the other worker gets a load order.
+    // The primary worker does not respond to its requests and gets a health check; the other worker gets a
+    // load order.
     let mut received = ReceivedWhileSilent::default();
     received.wait_for(&workers, 12);
     received
