--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -1,4 +1,5 @@
-//! A log that cannot be written costs no request: its disk is full, its reader has gone, or its reader has stalled.
+//! Tests that requests are served while the log cannot be written, because the disk is full, the pipe is
+//! closed or the reader has stalled.
 
 use crate::support::configuration::Configuration;
 use crate::support::frame_client::FrameClient;
@@ -10,20 +11,23 @@
 use std::net::Ipv4Addr;
 use std::process::Stdio;
 
-/// Lines of the log that fill a pipe which nobody reads: each is some hundreds of bytes, and a pipe holds 64 KiB.
+/// Number of log lines that fill an unread pipe. A line has some hundreds of bytes, and a pipe holds 64 KiB.
 const LINES_TO_FILL_A_PIPE: usize = 400;
 
-/// A scheduler whose log is written to `stderr`, reachable by clients.
+/// Starts a scheduler that logs to `stderr` and waits until it responds to clients.
 fn start(host: Ipv4Addr, stderr: Stdio) -> SchedulerProcess {
     let worker = StandInWorker::node_agent();
     let configuration = Configuration::new(&[worker.address()]);
     worker.serve(echo);
     let mut scheduler = configuration.start_with_stderr(refusing_address(host), stderr);
-    assert!(scheduler.becomes_responsive(), "ended, or never reachable");
+    assert!(
+        scheduler.becomes_responsive(),
+        "the scheduler exited or never responded"
+    );
     scheduler
 }
 
-/// A scheduler whose log goes to a pipe, and the end of that pipe at which the log would be read.
+/// Starts a scheduler that logs to a pipe, and returns it with the read end of the pipe.
 fn start_with_pipe(host: Ipv4Addr) -> (SchedulerProcess, PipeReader) {
     let (reader, writer) = pipe().unwrap();
     (start(host, Stdio::from(writer)), reader)
