--- a/tests/server/main.rs
+++ b/tests/server/main.rs
@@ -1,4 +1,5 @@
-//! The scheduler program on real sockets, with stand-ins for the workers, the discovery service and the clients.
+//! End-to-end tests of the scheduler program on loopback sockets, with stand-ins for the workers, the
+//! discovery service and the clients.
 
 mod client_disconnect;
 mod connection_limits;
