--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -1,4 +1,4 @@
-//! Malformed, unfinished and oversized input of the frame protocol.
+//! Tests of malformed, incomplete and oversized input to the frame frontend.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::deploy;
@@ -9,10 +9,10 @@
 use serde_json::json;
 use std::io::Write;
 
-/// A frame type that clients do not send.
+/// Frame type that clients do not send.
 const UNKNOWN_TYPE: u8 = 3;
 
-/// An ordinary request with the body `x` on stream 1.
+/// Returns a valid request with the body `x` on stream 1.
 fn valid_request() -> Vec<u8> {
     let payload = request(IDEMPOTENT_CLASS, REQUEST_ID, 2000, b"x");
     frame(frame_type::REQUEST, 1, &payload)
@@ -29,12 +29,12 @@
         ("length above the limit", vec![0, 4, 0, 1]),
         ("unknown type", frame(UNKNOWN_TYPE, 1, &[])),
         ("stream 0", frame(frame_type::REQUEST, 0, &to_stream_0)),
-        ("fields cut short", frame(frame_type::REQUEST, 1, &[5, 1])),
+        ("truncated fields", frame(frame_type::REQUEST, 1, &[5, 1])),
         (
-            "fields that are no text",
+            "fields that are not UTF-8",
             frame(frame_type::REQUEST, 1, &[1, 1, 0xff, 0, 0]),
         ),
-        ("a stream used before", [good.clone(), good.clone()].concat()),
+        ("a reused stream", [good.clone(), good.clone()].concat()),
     ];
     for (case, bytes) in cases {
         let mut client = FrameClient::connect(&scheduler);
@@ -46,8 +46,8 @@
     assert_eq!(scheduler.counter("panics"), 0);
 }
 
-/// A client that sends nothing, half a frame or an endless one gets an error or is closed, so that it holds neither a
-/// descriptor nor a buffer.
+/// A client that sends nothing, half a frame or an endless frame gets an error or its connection is closed,
+/// so that it occupies neither a descriptor nor a buffer.
 #[test]
 fn incomplete_and_endless_input_closes_the_connection() {
     let worker = StandInWorker::node_agent();
@@ -55,12 +55,12 @@
     worker.serve(echo);
     let good = valid_request();
     let mut silent = FrameClient::connect(&scheduler);
-    assert_eq!(silent.next_frame(), None, "closed");
+    assert_eq!(silent.next_frame(), None, "a silent connection is closed");
     let mut half = FrameClient::connect(&scheduler);
     half.send_bytes(&good[..20]);
     assert_eq!(half.next_frame(), Some(failed(0)));
     assert_eq!(half.next_frame(), None);
-    // Sixty megabytes at full speed, while others are served.
+    // One client sends a frame of 60 MB without a pause while another is served.
     let mut huge = FrameClient::connect(&scheduler).stream;
     let writer = std::thread::spawn(move || {
         let chunk = vec![0; 1 << 20];
@@ -71,17 +71,20 @@
     let mut client = FrameClient::connect(&scheduler);
     client.send_bytes(&good);
     client.expect_served(1, b"x");
-    assert!(writer.join().unwrap().is_err(), "ended before it was all read");
+    assert!(
+        writer.join().unwrap().is_err(),
+        "the connection is closed before the whole frame is read"
+    );
 }
 
-/// The most memory that a process has had resident, in megabytes.
+/// Returns the peak resident memory of a process, in megabytes.
 fn peak_resident_mb(process_id: u32) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{process_id}/status")).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmHWM")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse::<usize>().unwrap() / 1024
 }
 
-/// Many clients send long frames that they never finish: the frames must not be buffered.
+/// Many clients send long frames that they never complete. The scheduler must not buffer them.
 #[test]
 fn flood_of_long_frames_stays_within_the_memory_limit() {
     let worker = StandInWorker::node_agent();
@@ -96,11 +99,11 @@
         assert_eq!(
             client.next_frame(),
             Some(failed(1)),
-            "failed once its length is known"
+            "the request fails once its length is known"
         );
     }
     let mut client = FrameClient::connect(&scheduler);
     client.assert_ready();
     let resident_mb = peak_resident_mb(scheduler.process_id());
-    assert!(resident_mb < 32, "{resident_mb} MB");
+    assert!(resident_mb < 32, "{resident_mb} MB resident");
 }
