--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
+//! Tests of the reload on SIGHUP: a new configuration is validated, then applied, and open requests continue.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::{deploy_with_discovery, deploy_with_settings};
@@ -15,8 +15,8 @@
 use serde_json::json;
 use std::path::Path;
 
-/// An invalid file changes nothing; a valid one is applied while an open request continues, and the new discovery
-/// service is watched from the last event on.
+/// An invalid file changes nothing. A valid file is applied while an open request continues, and the watch on
+/// the new discovery service resumes after the last event.
 #[test]
 fn new_configuration_is_applied_completely_or_rejected() {
     let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
@@ -43,11 +43,11 @@
     assert_eq!(
         client.next_frame(),
         Some(failed(2)),
-        "the old configuration is kept"
+        "the old configuration stays in effect"
     );
     assert_eq!(scheduler.reload(&text), ReloadResult::Applied);
     let mut watch = moved.accept();
-    assert_eq!(watch.offset, 2, "from the last event");
+    assert_eq!(watch.offset, 2, "the watch resumes after the last event");
     watch.send(&delta_event(3, 1, worker.address(), WorkerState::Draining));
     watch.send(&delta_event(4, 7, second.address(), WorkerState::Ready));
     scheduler.wait_for_counter("endpoint_updates", 4);
@@ -55,7 +55,7 @@
     assert_eq!(
         client.next_frame(),
         Some(served(1, b"y")),
-        "open when the file changed"
+        "the open request survives the reload"
     );
     client.send_request(3, &request("exam-submit", &request_id(3), 2900, b""));
     second.next_command().succeed("eA==");
@@ -64,8 +64,8 @@
     assert_eq!(client.next_frame(), Some(failed(4)), "the class is removed");
 }
 
-/// The signal comes while the file is being written, or while it cannot be read for a moment. Nobody signals once more:
-/// the configuration is taken as soon as it is whole.
+/// The signal arrives while the file is being written or is briefly unreadable. The configuration is applied
+/// as soon as it is complete, without a second signal.
 #[test]
 fn partially_written_configuration_is_applied_once_complete() {
     let (_worker, _discovery, scheduler, _watch) = deploy_with_discovery(default_settings());
@@ -79,8 +79,8 @@
     moved.accept_from(1);
 }
 
-/// A reload shortens the time after which workers close idle connections: connections that are already open are closed
-/// within the new time, or a request could cross the worker's close.
+/// A reload shortens the time after which workers close idle connections. The scheduler closes connections
+/// that are already open within the new time; otherwise a request could race with the worker's close.
 #[test]
 fn reload_applies_the_new_idle_time_to_open_connections() {
     let worker = RawWorker::new();
@@ -96,7 +96,8 @@
     connection.wait_for_close();
 }
 
-/// A lower limit on the requests in flight on one connection applies to a connection that is already open.
+/// A lower limit on the requests in flight on one connection also applies to connections that are already
+/// open.
 #[test]
 fn reload_applies_the_new_request_limit_to_open_connections() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
@@ -106,8 +107,8 @@
     assert_ne!(first.connection, second.connection);
 }
 
-/// The new limits on retries, cancels and retry delays apply to open requests, and new requests of a removed class
-/// fail.
+/// The new limits on retries, cancels and retry delays apply to open requests, and new requests of a removed
+/// class fail.
 #[test]
 fn reload_applies_the_new_limits_to_open_requests() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
@@ -131,7 +132,7 @@
     client.send_idempotent(3, 3_000, b"");
     assert_eq!(client.next_frame(), Some(failed(3)), "the class is removed");
     client.send_request(4, &request("other-check", &request_id(4), 3_000, b""));
-    // No cancel of request 2 comes before it.
+    // This is the next command, so request 2 was not cancelled at the worker.
     let mut next = worker.expect_command(CommandKind::Run, &request_id(4));
     next.succeed("eA==");
     client.expect_served(4, b"x");
@@ -139,7 +140,7 @@
     client.assert_ready();
 }
 
-/// An operator's file with a socket in the process's folder and one JSON-RPC worker.
+/// Returns an operator's file with a socket in `folder` and one JSON-RPC worker.
 fn operator_file(folder: &TempFolder, socket: &str, worker_number: usize, worker_path: &Path) -> String {
     let socket = folder.file(socket);
     format!(
@@ -148,7 +149,8 @@
     )
 }
 
-/// SIGHUP reads the operator's file too: the socket moves, JSON-RPC workers are replaced, and open requests continue.
+/// SIGHUP also reloads the operator's file. The socket moves, JSON-RPC workers are replaced, and open
+/// requests continue.
 #[test]
 fn new_operators_file_moves_the_socket_and_replaces_workers() {
     let folder = TempFolder::new();
@@ -172,7 +174,7 @@
     assert_eq!(
         scheduler.reload(&config),
         ReloadResult::Rejected,
-        "the path holds a file that is no socket"
+        "the path is a file that is not a socket"
     );
     JsonRpcClient::connect(&scheduler);
     scheduler.write_operator_file(&operator_file(&scheduler.folder, "moved.sock", 1, &paths[1]));
@@ -189,6 +191,6 @@
     workers[1].next_command().succeed("eA==");
     second.expect_body("eA==");
     command.succeed("eQ==");
-    // Open when the file changed.
+    // The request that was open before the reload is served.
     client.expect_body("eQ==");
 }
