--- a/tests/server/retries.rs
+++ b/tests/server/retries.rs
@@ -1,4 +1,4 @@
-//! The deduplication window of keyed requests, on both frontends.
+//! Tests of the deduplication window of keyed requests on both frontends.
 
 use crate::support::deployment::{deploy_jsonrpc, deploy_with_settings};
 use crate::support::frame_client;
@@ -7,7 +7,8 @@
 use crate::support::{IDEMPOTENCY_KEY, KEYED_CLASS, REQUEST_ID};
 use serde_json::json;
 
-/// After a reset the request may have run: outside its key's deduplication window it must not be sent again.
+/// A request may have run before its connection was reset, so it must not be sent again outside the
+/// deduplication window of its key.
 #[test]
 fn keyed_request_is_retried_only_inside_its_window() {
     for (window_ns, expected_attempts) in [(6_000_000_000, 3), (1, 1)] {
@@ -20,15 +21,19 @@
             keys.push(command.message["attrs"]["dedupe"].clone());
             command.close_connection();
         }
-        // The deduplication scope is all workers, so the request is rejected and not failed.
+        // The deduplication scope is all workers, so the request is rejected; it does not fail.
         client.expect_rejection(1);
         client.assert_ready();
-        assert!(worker.is_idle(), "window {window_ns}");
+        assert!(
+            worker.is_idle(),
+            "window of {window_ns} ns: the request was sent again"
+        );
         assert!(keys.iter().all(|key| key == IDEMPOTENCY_KEY));
     }
 }
 
-/// A keyed request is not resent beyond its key's window by the JSON-RPC frontend either.
+/// Requests from the JSON-RPC frontend follow the same rule: outside the deduplication window they are sent
+/// once.
 #[test]
 fn keyed_jsonrpc_request_outside_its_window_is_sent_once() {
     let (worker, _scheduler, mut client) = deploy_jsonrpc(deduplication_window_settings(1));
