--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown on SIGTERM: clients are notified, open and new requests are answered, and the program ends.
+//! Tests of the graceful shutdown on SIGTERM: clients are notified, open and new requests get responses, and
+//! the program exits.
 
 use crate::support::configuration::Configuration;
 use crate::support::deployment::{deploy, deploy_jsonrpc, deploy_with_discovery, deploy_with_settings};
@@ -39,7 +40,8 @@
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
-/// A planned restart: the scheduler reports that it is not ready, but still answers open and new requests.
+/// During a planned restart the scheduler reports that it is not ready, but still responds to open and new
+/// requests.
 #[test]
 fn jsonrpc_requests_are_answered_after_sigterm_too() {
     let (worker, mut scheduler, mut client) = deploy_jsonrpc(default_settings());
@@ -64,20 +66,21 @@
     assert!(!scheduler.folder.file(SOCKET_NAME).exists());
 }
 
-/// A scheduler that shuts down while one client has not read its responses.
+/// Shutdown of a scheduler while one client has not read its responses.
 struct ShutdownWithBacklog {
     scheduler: SchedulerProcess,
-    /// Has sent requests on stream 1 and on all from 3 to the last one, and has read nothing.
+    /// Client that has sent a request on stream 1 and on each stream from 3 to `last_stream`, and has read
+    /// nothing.
     reader: FrameClient,
-    /// The last stream of the reader.
+    /// Last stream on which `reader` has sent a request.
     last_stream: u32,
-    /// The request on the reader's stream 1, which is still to be answered; all others are.
+    /// Request on stream 1 of `reader`, the only one without a response.
     pending: ReceivedCommand,
     _other: FrameClient,
 }
 
 impl ShutdownWithBacklog {
-    /// Builds the backlog and sends SIGTERM; returns when the time after SIGTERM itself is over.
+    /// Fills the output buffer, sends SIGTERM and waits until the grace period of the shutdown is over.
     fn begin() -> ShutdownWithBacklog {
         let (worker, scheduler, mut reader) = deploy();
         let mut other = FrameClient::connect(&scheduler);
@@ -88,7 +91,7 @@
         let last_stream = fill_output_buffer(&scheduler, &mut reader, &mut other);
         scheduler.signal("TERM");
         assert_eq!(other.next_frame(), Some(go_away()));
-        // Its rejection shows that the time after SIGTERM itself is over.
+        // The rejection of this request shows that the grace period of the shutdown is over.
         other.send_idempotent(2, 2_400, b"");
         other.expect_rejection(2);
         ShutdownWithBacklog {
@@ -100,22 +103,22 @@
         }
     }
 
-    /// Asserts that the reader's frames serve each of its requests once, the pending one among them.
+    /// Asserts that `frames` serve each request of `reader` once, including the pending one.
     fn assert_all_served(&self, mut frames: Vec<ReceivedFrame>) {
         frames.retain(|frame| frame.frame_type == frame_type::RESPONSE);
         let count = frames.len() as u32;
         let expected = self.last_stream - 1;
         assert!(
             frames.contains(&served(1, b"last")),
-            "{count} of {expected} responses"
+            "the pending response is missing: {count} of {expected} responses"
         );
-        assert_eq!(count, expected, "one response for each request");
+        assert_eq!(count, expected, "each request has one response");
         assert!(frames.iter().all(|frame| frame.code() == code::SERVED));
     }
 }
 
-/// Sends requests with large bodies on a connection that is not read, from stream 3 on, until the scheduler stops
-/// reading them, and returns the last stream.
+/// Sends requests with large bodies from stream 3 on, without reading the responses, until the scheduler
+/// stops reading the connection. Returns the last stream.
 fn fill_output_buffer(
     scheduler: &SchedulerProcess,
     reader: &mut FrameClient,
@@ -134,12 +137,12 @@
             return last_stream;
         }
         scheduler.wait_for_counter("responses_served", u64::from(last_stream - 2));
-        assert!(last_stream < 4000, "the scheduler goes on reading");
+        assert!(last_stream < 4000, "the scheduler never stops reading");
     }
 }
 
-/// After SIGTERM the last response is queued for a client that has not read the responses before it: the client's time
-/// to read them counts from then and not from the signal.
+/// After SIGTERM the last response is queued for a client that has not read the earlier ones. The time that
+/// the client has to read them starts with that response, not with the signal.
 #[test]
 fn late_response_after_sigterm_is_written_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
@@ -149,12 +152,13 @@
     shutdown.scheduler.expect_orderly_exit();
 }
 
-/// The same client reads all responses at once, so that the scheduler can read its waiting requests: they are answered,
-/// and not dropped with a connection that had no open request a moment ago.
+/// The client reads all responses at once, so that the scheduler can read the requests that were blocked
+/// behind them. They get responses, even though the connection has no open request at the time.
 #[test]
 fn requests_blocked_by_unread_responses_are_answered_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
-    // In one turn of its event loop the scheduler can then write all that waits and receive the last response.
+    // The pause lets the scheduler write all buffered output and receive the last response in one turn of its
+    // event loop.
     shutdown.scheduler.signal("STOP");
     shutdown.pending.succeed("bGFzdA==");
     let stream = &mut shutdown.reader.stream;
@@ -164,13 +168,16 @@
     assert_eq!(end.kind(), ErrorKind::WouldBlock);
     stream.set_nonblocking(false).unwrap();
     shutdown.scheduler.signal("CONT");
-    stream.read_to_end(&mut bytes).expect("an orderly end");
+    stream
+        .read_to_end(&mut bytes)
+        .expect("the connection is closed without an error");
     shutdown.assert_all_served(decode_frames(&bytes));
     shutdown.scheduler.expect_orderly_exit();
 }
 
-/// SIGTERM with a request queued for a connection that is not established and the discovery service down. Valid and
-/// invalid reloads, a second SIGTERM and a new client with a request follow: both requests are served before the end.
+/// SIGTERM comes while a request is queued for a connection that is not established and discovery is down.
+/// Valid and invalid reloads, a second SIGTERM and a request of a new client follow. Both requests are served
+/// before exit.
 #[test]
 fn queued_and_late_requests_are_served_through_reloads_after_sigterm() {
     let worker = FullBacklogWorker::new();
@@ -201,7 +208,8 @@
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
-/// SIGHUP and SIGTERM in the same turn of the event loop, in either order; the reload moves the discovery service.
+/// SIGHUP and SIGTERM arrive in the same turn of the event loop, in either order. The reload changes the
+/// address of the discovery service.
 #[test]
 fn reload_and_shutdown_in_one_event_loop_turn_both_take_effect() {
     for signals in [["HUP", "TERM"], ["TERM", "HUP"]] {
@@ -224,17 +232,21 @@
     }
 }
 
-/// A client that ignores the notice keeps requests open at a worker that answers none, until the process is killed. By
-/// then it has to have answered all of them, and to have ended.
+/// Asserts that the scheduler responds to all requests and exits before it may be killed, although a client
+/// ignores the GOAWAY frame and keeps sending requests to a worker that never responds.
 fn assert_shutdown_before_kill(deadline_ms: u64) {
     const INTERVAL: Duration = Duration::from_millis(50);
     const REQUESTS: u32 = 120;
-    /// A request that crosses the end of its connection by less is sent again.
+    /// A request sent less than this before the connection closes may have no response; clients send it
+    /// again.
     const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
-    // The longest deadline, which counts as 3 s at most, and 0.7 s (page PROTOCOL).
+    // The longest deadline, capped at 3 s, plus 0.7 s (page PROTOCOL).
     let killed_after = Duration::from_millis(deadline_ms.min(3_000) + 700);
     let mut settings = default_settings();
-    for class in settings["classes"].as_array_mut().expect("there are classes") {
+    for class in settings["classes"]
+        .as_array_mut()
+        .expect("the settings have classes")
+    {
         class["deadlineNs"] = json!(deadline_ms * 1_000_000);
         class["objectiveNs"] = json!(deadline_ms * 500_000);
     }
@@ -273,8 +285,8 @@
     assert_shutdown_before_kill(3_000);
 }
 
-/// What was seen: with deadlines of 0.3 s the process ended later than 1.0 s after SIGTERM, when it may be killed. The
-/// longest deadline was counted as 3 s at least, where the page counts it as 3 s at most.
+/// The longest deadline counts as 3 s at most. If it counted as 3 s at least, a process with deadlines of
+/// 0.3 s would exit later than 1.0 s after SIGTERM, when it may be killed.
 #[test]
 fn shutdown_with_short_deadlines_ends_before_the_kill() {
     assert_shutdown_before_kill(300);
