--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -1,4 +1,5 @@
-//! What crosses the start of the program: signals, and a predecessor that has not gone yet.
+//! Tests of events during startup: signals, an address that a previous process still holds, and a lack of
+//! descriptors.
 
 use crate::support::configuration::Configuration;
 use crate::support::frame_client::FrameClient;
@@ -9,13 +10,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// The number of SIGHUP.
+/// Signal number of SIGHUP.
 const SIGHUP: u32 = 1;
 
-/// How long a predecessor holds the address on.
+/// Time for which the address or the descriptors are unavailable to the starting process.
 const STARTUP_BLOCK_TIME: Duration = Duration::from_millis(600);
 
-/// An operator's script does not know whether the program has read its configuration yet.
+/// Scripts of operators send signals without knowing whether the program has read its configuration yet.
 #[test]
 fn signals_before_the_configuration_is_read_do_not_end_the_program() {
     let worker = StandInWorker::node_agent();
@@ -27,13 +28,13 @@
     scheduler.signal("HUP");
     scheduler.signal("USR1");
     scheduler.write_config_in_background();
-    assert!(scheduler.becomes_reachable(), "ended by a signal");
-    // The reload that the signal asks for reads it once more.
+    assert!(scheduler.becomes_reachable(), "the signals ended the scheduler");
+    // The reload that SIGHUP requested reads the configuration again.
     scheduler.write_config_in_background();
     FrameClient::connect(&scheduler).assert_ready();
 }
 
-/// A restart under the same address: the process before may hold it for a moment longer.
+/// On a restart with the same address, the previous process may hold the address for a short time.
 #[test]
 fn startup_waits_until_a_predecessor_releases_the_address() {
     let worker = StandInWorker::node_agent();
@@ -43,13 +44,13 @@
     let address = predecessor.local_addr().unwrap();
     let mut scheduler = configuration.start_with_stderr(address, Stdio::null());
     thread::sleep(STARTUP_BLOCK_TIME);
-    assert!(!scheduler.has_ended(), "gave up at once");
+    assert!(!scheduler.has_ended(), "the startup did not wait");
     drop(predecessor);
     assert!(scheduler.becomes_responsive());
     FrameClient::connect(&scheduler).assert_ready();
 }
 
-/// Nobody waits for a start that has been called off.
+/// SIGTERM ends the program while it waits for its address, instead of after the wait.
 #[test]
 fn sigterm_ends_a_start_that_waits_for_its_address() {
     let predecessor = TcpListener::bind((Ipv4Addr::new(127, 0, 8, 3), 0)).unwrap();
@@ -60,10 +61,10 @@
     scheduler.expect_orderly_exit();
 }
 
-/// For a moment there is no descriptor for anything, not even for the pipes of the signal handlers.
+/// Descriptors are briefly unavailable, even for the pipes of the signal handlers.
 #[test]
 fn startup_waits_until_descriptors_are_available() {
-    /// Room for the standard streams and for one file at a time, as the program is loaded.
+    /// Enough for the standard streams and for one file at a time while the program is loaded.
     const DESCRIPTOR_LIMIT: usize = 4;
     let worker = StandInWorker::node_agent();
     let configuration = Configuration::new(&[worker.address()]);
@@ -71,7 +72,7 @@
     let address = refusing_address(Ipv4Addr::new(127, 0, 8, 4));
     let mut scheduler = configuration.start_with_descriptor_limit(address, DESCRIPTOR_LIMIT);
     thread::sleep(STARTUP_BLOCK_TIME);
-    assert!(!scheduler.has_ended(), "gave up at once");
+    assert!(!scheduler.has_ended(), "the startup did not wait");
     scheduler.limit_descriptors(256);
     assert!(scheduler.becomes_responsive());
     FrameClient::connect(&scheduler).assert_ready();
