--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -1,4 +1,5 @@
-//! Connections to workers that are refused, reset, closed while idle, unreadable or silent, and their requests.
+//! Tests of connections to workers that are refused, reset, closed while idle, unreadable or silent, and of
+//! their requests.
 
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
@@ -23,17 +24,17 @@
         assert_eq!(
             client.next_frame(),
             Some(served(n, b"x")),
-            "forwarded to the other worker"
+            "the other worker serves the request"
         );
     }
 }
 
-/// Waits until one of two workers has received a command, and returns the command and the other worker.
+/// Waits for the first command that one of two workers receives, and returns it with the other worker.
 fn first_command(workers: &[StandInWorker; 2]) -> (ReceivedCommand, &StandInWorker) {
     let [first, second] = workers;
     let start = Instant::now();
     loop {
-        assert!(start.elapsed() < WAIT_LIMIT, "no worker receives the request");
+        assert!(start.elapsed() < WAIT_LIMIT, "no worker has received the request");
         if let Some(command) = first.poll_command() {
             return (command, second);
         }
@@ -43,7 +44,7 @@
     }
 }
 
-/// A machine that is cut off is silent: its requests must not wait for their deadlines.
+/// An unreachable worker is silent. Its requests must not wait for their deadlines.
 #[test]
 fn requests_at_a_silent_worker_are_retried_and_its_late_answer_is_ignored() {
     let workers = [StandInWorker::node_agent(), StandInWorker::node_agent()];
@@ -51,7 +52,7 @@
     let scheduler = SchedulerProcess::start_with_settings(&addresses, health_check_settings());
     let mut client = FrameClient::connect(&scheduler);
     client.send_request(1, &request(KEYED_CLASS, REQUEST_ID, 60_000, b""));
-    // The rendezvous order determines which of the two is the function's home.
+    // The hash order determines which of the two is the function's primary worker.
     let (mut silent, other) = first_command(&workers);
     let mut retry = other.expect_command(CommandKind::Run, REQUEST_ID);
     silent.succeed("b2xk");
@@ -61,8 +62,9 @@
     assert!(scheduler.counter("health_checks_failed") >= 2);
 }
 
-/// After a line that cannot be read or does not end, the connection is closed and its request does not wait for its
-/// deadline. In a small fleet each request has a connection of its own, so that others are not affected.
+/// A line that cannot be decoded, is never completed or exceeds the length limit closes its connection. The
+/// request is retried before its deadline. In a small fleet each request has its own connection, so that
+/// others are not affected.
 #[test]
 fn unreadable_line_ends_its_connection_and_the_request_is_retried() {
     let unreadable: [&[u8]; 5] = [
@@ -94,7 +96,7 @@
     }
 }
 
-/// A response that arrived completely counts even if a reset follows it at once.
+/// A complete response counts even if a reset follows it immediately.
 #[test]
 fn response_followed_by_a_reset_is_forwarded() {
     let worker = RawWorker::new();
@@ -107,17 +109,18 @@
     connection.wait_for_unread_input();
     scheduler.signal("STOP");
     connection.succeed(&request_id(1), "eA==");
-    // Closed with the second request unread: the system resets the connection.
+    // The connection is closed with the second request unread, so the kernel resets it.
     drop(connection);
     scheduler.signal("CONT");
     client.expect_served(1, b"x");
-    // Only the other request is sent again.
+    // Only the second request is sent again.
     let mut connection = worker.accept();
     connection.serve(&request_id(2), "eQ==");
     client.expect_served(2, b"y");
 }
 
-/// A worker resets an idle connection while a request for it comes in: the request is served, on another.
+/// A worker resets an idle connection while a request for it arrives. The request is served on another
+/// connection.
 #[test]
 fn request_that_races_with_a_reset_of_an_idle_connection_is_served() {
     let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
@@ -141,8 +144,8 @@
     );
 }
 
-/// Two requests share a connection on which an unreadable response comes: both are sent again on a new one, and further
-/// responses on the old one are ignored.
+/// Two requests share a connection on which an unreadable response arrives. Both are sent again on a new
+/// connection, and further responses on the old one are ignored.
 #[test]
 fn unreadable_response_moves_all_requests_of_its_connection_to_a_new_one() {
     let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
@@ -165,7 +168,7 @@
     client.assert_ready();
 }
 
-/// A request waits for a connection that is not established no longer than the connect timeout.
+/// A request waits for a connection to be established no longer than the connect timeout.
 #[test]
 fn request_moves_to_another_worker_after_the_connect_timeout() {
     let unaccepting = FullBacklogWorker::new();
@@ -180,11 +183,12 @@
     }
     assert!(
         scheduler.counter("attempts_connect_failed") > 0,
-        "some went to the worker that does not accept"
+        "no request was placed on the worker that does not accept connections"
     );
 }
 
-/// For a moment the system opens no connection. The request has seconds left: it must not use up its attempts at once.
+/// The process briefly cannot open connections. A request with seconds left must not use up its attempts at
+/// once.
 #[test]
 fn request_is_served_after_connections_briefly_cannot_be_opened() {
     let (worker, scheduler, mut client) = deploy();
