--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -147,7 +147,7 @@
     connection.assert_nothing_received();
 }
 
-/// A reload changes the address of the discovery service while the connection to the old address is being
+/// SIGHUP reloads a new address of the discovery service while the connection to the old address is being
 /// established, or while the scheduler waits to reconnect.
 #[test]
 fn discovery_address_change_takes_effect_at_once() {
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -80,7 +80,7 @@
 }
 
 impl ShutdownWithBacklog {
-    /// Fills the output buffer, sends SIGTERM and waits until the grace period of the shutdown is over.
+    /// Fills the output buffer, sends SIGTERM and waits until the grace period after SIGTERM is over.
     fn begin() -> ShutdownWithBacklog {
         let (worker, scheduler, mut reader) = deploy();
         let mut other = FrameClient::connect(&scheduler);
@@ -91,7 +91,7 @@
         let last_stream = fill_output_buffer(&scheduler, &mut reader, &mut other);
         scheduler.signal("TERM");
         assert_eq!(other.next_frame(), Some(go_away()));
-        // The rejection of this request shows that the grace period of the shutdown is over.
+        // The rejection of this request shows that the grace period after SIGTERM is over.
         other.send_idempotent(2, 2_400, b"");
         other.expect_rejection(2);
         ShutdownWithBacklog {
