--- a/src/backend/codec.rs
+++ b/src/backend/codec.rs
@@ -1,4 +1,4 @@
-//! The interface of the wire formats of workers, and the types that they share.
+//! The interface that the wire formats of workers implement, and the types that they share.
 
 use crate::model::{FunctionId, Time};
 use crate::scheduler::{ReportedMetric, RequestPayload, WorkerResponse};
@@ -10,7 +10,8 @@
 ///
 /// Every encoded line ends with a line feed. [`Codec::decode`] takes a line without it.
 pub trait Codec {
-    /// Encodes the command that starts an attempt at `now` and whose response is due by `deadline`.
+    /// Encodes the command that starts an attempt. The command contains the time that remains from `now`
+    /// until the response is due at `deadline`.
     fn encode_request(&self, payload: &RequestPayload, now: Time, deadline: Time) -> Vec<u8>;
 
     /// Encodes the cancellation of the attempt with this correlation id.
@@ -65,7 +66,7 @@
 pub struct DecodeError {
     /// The correlation id of the command that the line responds to, if it could be decoded.
     pub correlation_id: Option<String>,
-    /// What is wrong with the line.
+    /// The reason why the line is not valid.
     pub kind: DecodeErrorKind,
 }
 
--- a/src/backend/node_agent_codec.rs
+++ b/src/backend/node_agent_codec.rs
@@ -71,7 +71,8 @@
     replicas: u8,
 }
 
-/// Encodes a command that consists only of a verb and an id.
+/// Encodes a command that consists only of a verb and a `rid`. The `rid` is a correlation id or, for
+/// [`CommandVerb::Purge`], the name of a function.
 fn command_without_attributes(verb: CommandVerb, rid: &str) -> Vec<u8> {
     json_line(&AgentCommand {
         attrs: None,
