--- a/src/backend/connection.rs
+++ b/src/backend/connection.rs
@@ -93,7 +93,7 @@
             .health_check_ended(context.now, check, Err(error));
     }
 
-    /// Returns when to close the connection unless its state changes before.
+    /// Returns the time at which the connection closes unless its state changes before then.
     fn close_deadline(&self) -> Option<Time> {
         let idle_deadline = self
             .idle_since()
--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -42,8 +42,8 @@
         self.flush_commands(socket, context)
     }
 
-    /// Cancels an attempt. Returns whether the cancellation must be sent to the worker: not if the response
-    /// has already arrived, nor if the attempt's own command was still queued and has now been removed.
+    /// Cancels an attempt. Returns whether the cancellation must be sent to the worker. It need not be sent if
+    /// the response has already arrived, or if the attempt's own command was still queued and is now removed.
     fn cancel_attempt(&mut self, attempt: AttemptId, now: Time) -> bool {
         if !self.correlations.has_attempt(attempt) {
             return false;
--- a/src/backend/connection/phase.rs
+++ b/src/backend/connection/phase.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Returns when the connection fails unless it is established, or the incomplete line is complete, by
-    /// then.
+    /// Returns the time by which the connection must be established or, once it is, the incomplete line must
+    /// be complete. The connection fails otherwise.
     pub(in crate::backend) fn deadline(&self) -> Option<Time> {
         match self {
             Phase::Connecting { deadline } => Some(*deadline),
--- a/src/backend/correlation.rs
+++ b/src/backend/correlation.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Open(Exchange),
-    /// Cancelled or completed at this time. A response that arrives later belongs to no exchange.
+    /// The exchange was cancelled or completed at this time. A later response belongs to no exchange.
     Retired(Time),
 }
 
@@ -50,11 +50,11 @@
 #[derive(Default)]
 pub(super) struct CorrelationTable {
     entries: HashMap<String, Entry>,
-    /// Ids of open attempts, and of cancelled attempts until the cancellation is written.
+    /// Correlation ids of open attempts, and of cancelled attempts until the cancellation is written.
     attempt_correlation_ids: HashMap<AttemptId, String>,
     open_attempts: usize,
-    /// In order of retirement. An id whose late response has arrived is free again, but stays here until it
-    /// expires.
+    /// Retired ids in order of retirement. An id whose late response has arrived is free again, but stays here
+    /// until it expires.
     retired: VecDeque<RetiredId>,
 }
 
--- a/src/backend/pool.rs
+++ b/src/backend/pool.rs
@@ -49,7 +49,7 @@
     attempt_connections: HashMap<AttemptId, ConnectionId>,
     node_agent_codec: Rc<dyn Codec>,
     jsonrpc_codec: Rc<dyn Codec>,
-    /// Shared with all connections, so that new limits apply to open connections too.
+    /// The limits, shared with all connections so that new limits also apply to open connections.
     limits: Rc<Cell<Limits>>,
 }
 
@@ -68,8 +68,8 @@
     /// Sets new limits, which also apply to open connections.
     pub fn configure(&mut self, limits: Limits, reactor: &mut Reactor) {
         self.limits.set(limits);
-        // The reactor updates a connection's timer after each callback, so that a callback without effect
-        // applies the new timeouts.
+        // The reactor updates a connection's timer after each callback. A callback that does nothing
+        // therefore applies the new timeouts.
         for connection in reactor.connection_ids() {
             reactor.with_connection(connection, |_, _, _| ConnectionFlow::Continue);
         }
@@ -172,8 +172,8 @@
         connections < limits.max_connections && outgoing < limits.max_outgoing_connections
     }
 
-    /// Frees a descriptor by closing the connection that has been idle longest. Clients' connections are
-    /// spared if the limit on outgoing connections is reached. Returns whether a connection was closed.
+    /// Frees a descriptor by closing the connection that has been idle for longest. Client connections are
+    /// not closed if the limit on outgoing connections is reached. Returns whether a connection was closed.
     fn free_descriptor(&self, reactor: &mut Reactor) -> bool {
         let outgoing = reactor.connection_count() - reactor.client_count();
         if outgoing < self.limits.get().max_outgoing_connections {
--- a/src/backend/write_queue.rs
+++ b/src/backend/write_queue.rs
@@ -33,7 +33,7 @@
         self.waiting.pop_front()
     }
 
-    /// Removes the command that starts an attempt, if it is still queued. Returns whether it was.
+    /// Removes the command that starts an attempt, if it is still queued. Returns whether it was queued.
     pub(super) fn remove_send(&mut self, attempt: AttemptId) -> bool {
         let sends_attempt = |command: &WorkerCommand| command.exchange() == Some(Exchange::Attempt(attempt));
         let position = self.waiting.iter().position(sends_attempt);
