--- a/src/net/buffered_stream.rs
+++ b/src/net/buffered_stream.rs
@@ -32,7 +32,7 @@
     interest: Option<Interest>,
     /// Bytes that were read and not yet consumed.
     pub input: Vec<u8>,
-    /// Whether the peer has closed its half.
+    /// Whether the input has ended: the peer has closed its sending half, or a reset followed the last input.
     pub input_ended: bool,
     /// Whether reading stopped before the socket was empty, so that the registration must be renewed.
     input_left_in_socket: bool,
@@ -87,7 +87,8 @@
     /// Removes the first `count` bytes of the input, which have been processed.
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
-        // With hundreds of connections, none may keep the capacity of its largest message.
+        // If each of hundreds of connections kept the capacity for its largest message, the buffers would use
+        // too much memory.
         if self.input.capacity() > READ_CHUNK_BYTES + 2 * self.input.len() {
             self.input.shrink_to(self.input.len());
         }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -18,7 +18,7 @@
 }
 
 impl ConnectionFlow {
-    /// Returns the stricter of the two.
+    /// Returns the stricter of two flows: `Close` is stricter than `Finish`, and `Finish` than `Continue`.
     pub fn and(self, other: ConnectionFlow) -> ConnectionFlow {
         match (self, other) {
             (ConnectionFlow::Close, _) | (_, ConnectionFlow::Close) => ConnectionFlow::Close,
@@ -61,7 +61,8 @@
     }
 }
 
-/// State shared by all connections of a reactor, to which the reactor reports its own faults.
+/// State shared by all connections of a reactor, to which the reactor reports panics and failed
+/// registrations.
 pub trait SharedState {
     /// Called when a panic was caught in a callback of a connection.
     fn panic_caught(&mut self);
@@ -76,8 +77,9 @@
     pub shared: &'a mut S,
     /// The current time.
     pub now: Time,
-    /// Earliest time at which the input of this call may have arrived, from which a request's time counts.
-    /// It is before `now` if the process was busy or stopped, or if the client had to wait to be accepted.
+    /// Earliest time at which the input that this callback handles may have arrived. The deadline of a request
+    /// counts from it. It is before `now` if the process was busy or stopped, or if the client had to wait to
+    /// be accepted.
     pub earliest_input_at: Time,
 }
 
--- a/src/net/message_deadline.rs
+++ b/src/net/message_deadline.rs
@@ -36,7 +36,8 @@
 }
 
 impl MessageDeadline {
-    /// Creates a deadline without a message. Each message must be complete within `timeout` of its start.
+    /// Creates a deadline that is not set, because no message is incomplete. Each message must be complete
+    /// within `timeout` of its start.
     pub fn new(timeout: Span) -> MessageDeadline {
         MessageDeadline {
             timeout,
--- a/src/net/reactor/connections.rs
+++ b/src/net/reactor/connections.rs
@@ -99,7 +99,7 @@
         connection.downcast_ref()
     }
 
-    /// Runs a callback on a connection like the reactor does for an event. Returns false if the connection
+    /// Runs a callback on a connection as the reactor does for an event. Returns false if the connection
     /// is closed.
     pub fn with_connection(
         &mut self,
@@ -194,7 +194,7 @@
         let mut flow = managed.run_callback(&mut context, callback);
         let unsent_bytes = managed.stream.unsent_bytes();
         self.unsent_bytes = (self.unsent_bytes + unsent_bytes).saturating_sub(unsent_before);
-        // Bounds the memory that peers that do not read their input can use.
+        // Bounds the memory for output that peers do not read.
         let grew = unsent_bytes > unsent_before && unsent_bytes > GUARANTEED_UNSENT_BYTES;
         if grew && self.unsent_bytes > self.max_unsent_bytes {
             managed.set_close_cause(CloseCause::OutputLimitExceeded);
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -33,7 +33,8 @@
     write_shut_down: bool,
     /// Number of bytes read and discarded since the connection started to close.
     discarded: usize,
-    /// Reason for closing the connection, unless its peer or the connection itself ended it.
+    /// Reason for closing the connection; `None` while it is open, or if its peer or the connection itself
+    /// ended it.
     close_cause: Option<CloseCause>,
     /// Time at which a failed registration for the stream's events is retried.
     registration_retry_at: Option<Time>,
@@ -87,8 +88,8 @@
         })
     }
 
-    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after
-    /// sending the responses that its client is owed.
+    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after its open
+    /// requests have been failed.
     pub(super) fn run_callback(
         &mut self,
         context: &mut Context<S>,
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -72,8 +72,8 @@
     earliest_input_at: Time,
     /// Number of unsent output bytes on all connections together.
     unsent_bytes: usize,
-    /// Limit on the unsent output of all connections together. While it is exceeded, a connection that adds
-    /// to its unsent output is closed, unless it has only a small amount.
+    /// Limit on the unsent output of all connections together, in bytes. While it is exceeded, a connection
+    /// whose unsent output grows is closed, unless that output is small.
     pub max_unsent_bytes: usize,
 }
 
