--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -12,9 +12,10 @@
 const SHEDDING_DESCRIPTORS: usize = 8;
 /// Divisor of the number of descriptors that gives the quota of the clients (page PROTOCOL).
 const CLIENT_QUOTA_DIVISOR: usize = 3;
-/// One in this many of the possible connections is kept free of clients, for connections to workers.
+/// Divisor of the maximum number of connections that gives the number reserved for connections to workers,
+/// once the guaranteed number of clients is connected.
 const FREE_CONNECTION_DIVISOR: usize = 8;
-/// Unsent output on all connections together may use one in this many parts of the memory.
+/// Divisor of the memory limit that gives the limit on the unsent output of all connections together.
 const UNSENT_OUTPUT_DIVISOR: usize = 6;
 const BYTES_PER_MEGABYTE: usize = 1 << 20;
 /// Time added to the configured connect timeout: the platform's tolerance for a connect.
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -66,7 +66,8 @@
     config: SchedulerConfig,
     discovery: Discovery,
     acceptor: Acceptor,
-    /// Without an election, this server always accepts requests on the JSON-RPC frontend.
+    /// The leader election, if configured. Without it, this server always accepts requests on the JSON-RPC
+    /// frontend.
     leader_election: Option<LeaderElection>,
     signals: SignalPipes,
     /// Retry of a rejected reload, if one is pending.
--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -15,7 +15,7 @@
 const GRACE_PERIOD: Span = Span::from_millis(1_200);
 /// Delay after the longest deadline before the process may be killed (page PROTOCOL).
 const KILL_DELAY: Span = Span::from_millis(700);
-/// Upper bound on the longest deadline for the time of the kill (page PROTOCOL).
+/// Upper bound on the longest deadline when the time of the kill is calculated (page PROTOCOL).
 const MAX_LONGEST_DEADLINE: Span = Span::from_millis(3_000);
 /// Time before the kill by which late requests have ended, so that their responses can still be written.
 const LATE_REQUESTS_MARGIN: Span = Span::from_millis(300);
