--- a/src/bin/function-scheduler-sim/host.rs
+++ b/src/bin/function-scheduler-sim/host.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the endpoints of an update. An update of kind `Failed` has none, and its list number is
+    /// Returns the endpoints of an update. An update of kind `Failed` has none, and its list id is
     /// meaningless.
     fn endpoints(&self, kind: EndpointUpdateKind, list: ListId) -> Vec<Endpoint> {
         if kind == EndpointUpdateKind::Failed {
--- a/src/client.rs
+++ b/src/client.rs
@@ -62,7 +62,7 @@
 
 /// Maximum number of connections to workers.
 const MAX_CONNECTIONS: usize = 256;
-/// All requests of the embedding program count as coming from the same connection.
+/// Connection id of all requests of the embedding program, which count as coming from one connection.
 const CONNECTION: ConnectionId = ConnectionId(0);
 
 /// The id of a submitted request, unique within its client.
@@ -72,9 +72,9 @@
 /// A worker and its address.
 #[derive(Clone, Debug)]
 pub struct WorkerEndpoint {
-    /// Its entry in the endpoint list.
+    /// The worker's entry in the endpoint list.
     pub endpoint: Endpoint,
-    /// The address at which it listens.
+    /// The address at which the worker listens.
     pub address: WorkerAddress,
 }
 
@@ -83,7 +83,7 @@
 pub struct CompletedRequest {
     /// The id of the request.
     pub request: SubmittedRequestId,
-    /// Its final response.
+    /// The final response to the request.
     pub response: Response,
 }
 
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Executes the scheduler's commands.
+    /// Fires the scheduler's expired timers and executes its commands.
     fn run_commands(&mut self) {
         let now = self.reactor.now();
         self.reactor.shared.scheduler.fire_timers(now);
@@ -207,7 +207,7 @@
         self.pool.remove_ended_attempts(&self.reactor.shared.scheduler);
     }
 
-    /// Returns the id under which workers see a request: 16 hexadecimal digits.
+    /// Returns the correlation id of a request, which consists of 16 hexadecimal digits.
     fn correlation_id(&self, request: SubmittedRequestId) -> String {
         format!("{:08x}{:08x}", self.correlation_prefix, request.0 as u32)
     }
