--- a/src/discovery/endpoint_list.rs
+++ b/src/discovery/endpoint_list.rs
@@ -38,9 +38,9 @@
     Assigned {
         /// Id of the worker.
         worker: WorkerId,
-        /// Address on which it listens.
+        /// Address on which the worker listens.
         address: SocketAddr,
-        /// Start time of its process, if known; a different start time means a different process.
+        /// Start time of the worker's process, if known; a different start time means a different process.
         started_at: Option<Time>,
     },
     /// The worker is gone, and its address is no longer used.
@@ -55,10 +55,10 @@
     started_at: Option<Time>,
 }
 
-/// The endpoint list, with the addresses of the workers that watch events have named.
+/// The endpoint list, with the addresses of the workers that watch events list.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointList {
-    /// Workers that watch events have named and that are not gone, by id.
+    /// Processes of the workers that watch events list and that are not gone, by worker id.
     watched: BTreeMap<WorkerId, Process>,
     /// The same workers by address. Only a draining worker shares its address with another worker.
     watched_by_address: HashMap<SocketAddr, BTreeSet<WorkerId>>,
@@ -110,7 +110,7 @@
     /// Applies a watch event.
     ///
     /// A snapshot removes all workers that it omits, except the statically configured ones. A delta only
-    /// changes the workers that it names.
+    /// changes the workers that it lists.
     pub(crate) fn apply_watch_event(&mut self, event: WatchEvent) -> EndpointChange {
         let mut change = EndpointChange::new(event.kind);
         if event.kind == EndpointUpdateKind::Snapshot {
@@ -205,7 +205,7 @@
         change.address_changes.push(AddressChange::Removed(worker));
     }
 
-    /// Deletes the process of a worker and its address, if the worker was listed.
+    /// Removes the process of a worker and its address, if watch events have listed the worker.
     fn remove_process(&mut self, worker: WorkerId) {
         let Some(process) = self.watched.remove(&worker) else {
             return;
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -17,7 +17,7 @@
 /// A status change of the watch and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StatusChange {
-    /// Time of the change, or the latest time before which it cannot have happened.
+    /// Time of the change, or the earliest time at which it may have happened.
     pub(crate) at: Time,
     /// The new status.
     pub(crate) status: WatchStatus,
@@ -34,7 +34,7 @@
     pub(super) last_offset: u64,
     /// Whether the connection has closed and no other has been scheduled yet.
     pub(super) disconnected: bool,
-    /// Number of consecutive connections that closed without having received a frame.
+    /// Number of connections that have failed or closed since a frame was last received.
     pub(super) consecutive_failures: u32,
 }
 
@@ -55,8 +55,8 @@
         self.status_changes.push_back(StatusChange { at, status });
     }
 
-    /// Processes a frame that cannot have arrived before `arrived_at`; returns whether the frame shows that
-    /// the watch works.
+    /// Processes a frame that arrived at `arrived_at` or later; returns whether the frame shows that the watch
+    /// works.
     fn receive(&mut self, frame: Frame, arrived_at: Time) -> bool {
         match frame {
             Frame::Heartbeat { last_offset } if !self.confirms_list(last_offset) => {
