--- a/src/config/scheduler_file/document.rs
+++ b/src/config/scheduler_file/document.rs
@@ -13,7 +13,7 @@
     #[serde(default)]
     pub(super) name: String,
     pub(super) listen: SocketAddr,
-    /// Hexadecimal digits.
+    /// Seed of the random number generator, as hexadecimal digits.
     #[serde(default)]
     pub(super) seed: String,
     #[serde(default)]
--- a/src/config/scheduler_file/mod.rs
+++ b/src/config/scheduler_file/mod.rs
@@ -49,7 +49,8 @@
 /// itself or in the settings that it embeds.
 pub fn parse_scheduler_config(json: &[u8]) -> Result<SchedulerConfig, ConfigError> {
     let document: SchedulerDocument = serde_json::from_slice(json).map_err(|error| invalid(error.into()))?;
-    // Errors in the settings give positions in this text, as they do for settings that the simulator sends.
+    // The settings are parsed from their own text, so that errors state a position within the settings, as
+    // they do for settings that the simulator sends.
     let site = parse_site(document.settings.to_string().as_bytes())?;
     let known_events = known_events::parse(&document.known, &site).map_err(invalid)?;
     Ok(SchedulerConfig {
--- a/src/config/settings/convert.rs
+++ b/src/config/settings/convert.rs
@@ -151,7 +151,7 @@
     }
 }
 
-/// Returns whether worker weights from this source, as given in the endpoint list, are capacities.
+/// Returns whether the worker weights in the endpoint list are capacities, given the source of the weights.
 fn weights_are_capacities(weight_source: &str) -> bool {
     matches!(weight_source, "nominal" | "rough")
 }
--- a/src/config/settings/document.rs
+++ b/src/config/settings/document.rs
@@ -132,7 +132,7 @@
     pub(super) may_order: bool,
     #[serde(default, rename = "memoryMbByKind")]
     pub(super) worker_memory_mb: Vec<f64>,
-    /// Zero if the load rate limit is disabled.
+    /// Window of the load rate limit; zero disables the limit.
     #[serde(rename = "loadSpanNs")]
     pub(super) rate_limit_window_ns: u64,
     #[serde(default, rename = "loadsAnyway")]
