--- a/src/frontend/conversions.rs
+++ b/src/frontend/conversions.rs
@@ -6,7 +6,7 @@
 /// Number of hexadecimal digits in an id.
 const HEX_ID_DIGITS: usize = 16;
 
-/// Parses an id of 16 hexadecimal digits.
+/// Parses an id of 16 hexadecimal digits; returns `None` for any other text.
 pub(super) fn parse_hex_id(text: &str) -> Option<u64> {
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if text.len() != HEX_ID_DIGITS || !is_hex {
--- a/src/frontend/frame_codec/fields.rs
+++ b/src/frontend/frame_codec/fields.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Splits `count` bytes off the start of a slice; fails if it is shorter.
+/// Splits `count` bytes off the start of a slice; fails if the slice is shorter.
 fn take<'a>(bytes: &mut &'a [u8], count: usize) -> Result<&'a [u8], FrameError> {
     let (part, rest) = bytes.split_at_checked(count).ok_or(FrameError::TruncatedFields)?;
     *bytes = rest;
--- a/src/frontend/frame_codec/request.rs
+++ b/src/frontend/frame_codec/request.rs
@@ -15,7 +15,7 @@
     /// A required field is missing.
     #[error("missing field {0}")]
     MissingField(&'static str),
-    /// The value of a field is not an id.
+    /// The value of a field is not an id of 16 hexadecimal digits.
     #[error("{0} is not 16 hex digits")]
     InvalidId(&'static str),
     /// `allow` is not a number of milliseconds.
--- a/src/frontend/frame_connection.rs
+++ b/src/frontend/frame_connection.rs
@@ -183,9 +183,9 @@
     /// Updates the deadline of an incomplete frame.
     fn track_partial_frame(&self, partial_frame: PartialMessage, session: &mut Session, now: Time) {
         session.timers.track_message(partial_frame, now);
-        // The start of a frame counts as activity, so that the frame deadline, which is shorter than the idle
-        // timeout, applies. It does not count before the first complete frame, because the client must get a
-        // response within 3 s of connecting, whatever it has started to send.
+        // The start of a frame counts as activity, so that the idle timeout does not expire before the frame
+        // deadline. It does not count before the first complete frame, because the client must get a response
+        // within 3 s of connecting, whatever it has started to send.
         if self.admission.has_received_frame() && session.timers.message_began_at(now) {
             session.timers.record_activity(now);
         }
--- a/src/frontend/jsonrpc_codec/errors.rs
+++ b/src/frontend/jsonrpc_codec/errors.rs
@@ -102,7 +102,7 @@
     /// A parameter is not a string.
     #[error("{0} is not a string")]
     NotText(&'static str),
-    /// A parameter is not an id.
+    /// A parameter is not an id of 16 hexadecimal digits.
     #[error("{0} is not 16 hex digits")]
     NotAnId(&'static str),
     /// A parameter is missing or not a non-negative integer.
