--- a/src/backend/connection/commands.rs
+++ b/src/backend/connection/commands.rs
@@ -42,8 +42,9 @@
         self.flush_commands(socket, context)
     }
 
-    /// Cancels an attempt. Returns whether the cancellation must be sent to the worker. It need not be sent if
-    /// the response has already arrived, or if the attempt's own command was still queued and is now removed.
+    /// Cancels an attempt. Returns whether the cancellation must be sent to the worker. It need not be sent
+    /// if the response has already arrived, or if the attempt's own command was still queued and is now
+    /// removed.
     fn cancel_attempt(&mut self, attempt: AttemptId, now: Time) -> bool {
         if !self.correlations.has_attempt(attempt) {
             return false;
--- a/src/backend/correlation.rs
+++ b/src/backend/correlation.rs
@@ -53,8 +53,8 @@
     /// Correlation ids of open attempts, and of cancelled attempts until the cancellation is written.
     attempt_correlation_ids: HashMap<AttemptId, String>,
     open_attempts: usize,
-    /// Retired ids in order of retirement. An id whose late response has arrived is free again, but stays here
-    /// until it expires.
+    /// Retired ids in order of retirement. An id whose late response has arrived is free again, but stays
+    /// here until it expires.
     retired: VecDeque<RetiredId>,
 }
 
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -52,8 +52,8 @@
 }
 
 impl Discovery {
-    /// Creates the endpoint list from the workers of the operator's file, and the watch from the events in the
-    /// configuration.
+    /// Creates the endpoint list from the workers of the operator's file, and the watch from the events in
+    /// the configuration.
     ///
     /// The first connection to the discovery service is due at `now`.
     pub(crate) fn new(
@@ -128,8 +128,8 @@
 
     /// Queues those events of a reloaded configuration that continue the events received so far.
     ///
-    /// The event numbers of the discovery service continue across reloads. A snapshot applies after any earlier
-    /// event; a delta only applies directly after the event before it.
+    /// The event numbers of the discovery service continue across reloads. A snapshot applies after any
+    /// earlier event; a delta only applies directly after the event before it.
     pub(crate) fn merge_known_events(&mut self, known_events: Vec<WatchEvent>) {
         let mut queue = self.queue.borrow_mut();
         for event in known_events {
--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -55,8 +55,8 @@
         self.status_changes.push_back(StatusChange { at, status });
     }
 
-    /// Processes a frame that arrived at `arrived_at` or later; returns whether the frame shows that the watch
-    /// works.
+    /// Processes a frame that arrived at `arrived_at` or later; returns whether the frame shows that the
+    /// watch works.
     fn receive(&mut self, frame: Frame, arrived_at: Time) -> bool {
         match frame {
             Frame::Heartbeat { last_offset } if !self.confirms_list(last_offset) => {
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -77,9 +77,9 @@
     pub shared: &'a mut S,
     /// The current time.
     pub now: Time,
-    /// Earliest time at which the input that this callback handles may have arrived. The deadline of a request
-    /// counts from it. It is before `now` if the process was busy or stopped, or if the client had to wait to
-    /// be accepted.
+    /// Earliest time at which the input that this callback handles may have arrived. The deadline of a
+    /// request counts from it. It is before `now` if the process was busy or stopped, or if the client had to
+    /// wait to be accepted.
     pub earliest_input_at: Time,
 }
 
--- a/src/net/reactor/managed_connection.rs
+++ b/src/net/reactor/managed_connection.rs
@@ -88,8 +88,8 @@
         })
     }
 
-    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after its open
-    /// requests have been failed.
+    /// Runs a callback and writes the output that it adds. A panic closes only this connection, after its
+    /// open requests have been failed.
     pub(super) fn run_callback(
         &mut self,
         context: &mut Context<S>,
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -12,8 +12,8 @@
 const SHEDDING_DESCRIPTORS: usize = 8;
 /// Divisor of the number of descriptors that gives the quota of the clients (page PROTOCOL).
 const CLIENT_QUOTA_DIVISOR: usize = 3;
-/// Divisor of the maximum number of connections that gives the number reserved for connections to workers,
-/// once the guaranteed number of clients is connected.
+/// Divisor of the maximum number of connections that gives the number that clients beyond the guaranteed
+/// number leave free for connections to workers.
 const FREE_CONNECTION_DIVISOR: usize = 8;
 /// Divisor of the memory limit that gives the limit on the unsent output of all connections together.
 const UNSENT_OUTPUT_DIVISOR: usize = 6;
