--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Echoes its input, and panics if the input contains `!`.
+/// A connection that echoes its input, and panics if the input contains `!`.
 struct PanickingEcho;
 
 impl Connection<ReportCounts> for PanickingEcho {
@@ -50,8 +50,8 @@
     }
 }
 
-/// Echoes its input. It is idle from the start and closes at the given time, unless it has received input
-/// before.
+/// A connection that echoes its input. It is idle from the start and closes at the given time, unless it has
+/// received input before.
 struct ClosingEcho {
     closes_at: Option<Time>,
 }
