--- a/src/client.rs
+++ b/src/client.rs
@@ -99,7 +99,8 @@
 }
 
 impl Client {
-    /// Creates a scheduler without workers. The seed decides ties and must differ between clients.
+    /// Creates a scheduler without workers. The seed determines how ties are broken and must differ between
+    /// clients.
     ///
     /// # Errors
     ///
--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -21,7 +21,7 @@
 pub(super) struct Acceptor {
     limits: ClientLimits,
     jsonrpc: Option<JsonRpcListener>,
-    /// Connections of the JSON-RPC frontend. Closed ones are removed when the next client is accepted.
+    /// Connections of the JSON-RPC frontend. Closed ones are removed when its next client is accepted.
     jsonrpc_clients: BTreeSet<ConnectionId>,
     /// Time since which clients may have been waiting because accepting failed or a limit was reached.
     blocked_since: Option<Time>,
--- a/src/server/startup.rs
+++ b/src/server/startup.rs
@@ -51,8 +51,8 @@
             ConfigProblem::Unreadable { source, .. } => is_transient(source),
             _ => false,
         },
-        // Another process is listening at the path of the JSON-RPC frontend. It is a second server, not a
-        // predecessor that is about to exit.
+        // `AddrInUse` means that another process is listening at the path of the JSON-RPC frontend. That
+        // process is a second server, not a predecessor that is about to exit.
         ServerError::JsonRpcSocket { source, .. } => {
             source.kind() != io::ErrorKind::AddrInUse && is_transient(source)
         }
