--- a/src/server/accept.rs
+++ b/src/server/accept.rs
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Returns whether one more client can be accepted, if only to reject its requests.
+    /// Returns whether one more client can be accepted, even if only to reject its requests. Closes an idle
+    /// connection if that is necessary.
     fn may_accept(&self, reactor: &mut Reactor) -> bool {
         reactor.connection_count() < self.limits.shedding || reactor.close_longest_idle()
     }
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -33,11 +33,11 @@
 pub(super) struct ClientLimits {
     /// Number of clients that are served regardless of the other connections.
     pub(super) guaranteed: usize,
-    /// Number of connections of any kind from which a client beyond the guaranteed number is served only in
-    /// place of an idle connection.
+    /// Number of connections of any kind at or above which a client beyond the guaranteed number is served
+    /// only if an idle connection can be closed for it.
     pub(super) connections: usize,
-    /// Number of connections of any kind from which a client is not even accepted to be rejected, unless an
-    /// idle connection can be closed for it.
+    /// Number of connections of any kind at or above which a client is accepted only if an idle connection can
+    /// be closed for it. Below it, a client that cannot be served is accepted to reject its requests.
     pub(super) shedding: usize,
 }
 
