--- a/src/net/reactor/polling.rs
+++ b/src/net/reactor/polling.rs
@@ -13,7 +13,8 @@
 const MAX_INTERRUPTIONS: u32 = 8;
 /// Duration below which a poll counts as having returned without waiting.
 const IMMEDIATE_RETURN_THRESHOLD: Span = Span::from_millis(1);
-/// Delay of a poll's return after its timeout above which the process counts as not having been scheduled.
+/// Delay between a poll's timeout and its return above which the process is assumed to have been stopped, so
+/// that input may have arrived at any time since the poll began.
 const LATE_WAKEUP_THRESHOLD: Span = Span::from_millis(10);
 /// Time added to the wait for a timer, so that the system's rounding does not repeatedly end the wait
 /// slightly too early.
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -26,7 +26,8 @@
         UnixStream::connect(path).map(Stream::Unix)
     }
 
-    /// Wraps a TCP stream and disables Nagle's algorithm if possible, because messages are small and urgent.
+    /// Wraps a TCP stream and disables Nagle's algorithm if possible, because messages are small and
+    /// latency-sensitive.
     pub(super) fn from_tcp(stream: TcpStream) -> Stream {
         let _ = stream.set_nodelay(true);
         Stream::Tcp(stream)
