--- a/src/config/scheduler_file/known_events.rs
+++ b/src/config/scheduler_file/known_events.rs
@@ -1,4 +1,5 @@
-//! Watch events in the platform's file: those that the discovery service had published when it was written.
+//! Watch events in the platform's file: those that the discovery service had published when the file was
+//! written.
 
 use super::document::{EndpointDocument, EventDocument, KnownDocument};
 use crate::config::error::ConfigProblem;
--- a/src/config/scheduler_file/mod.rs
+++ b/src/config/scheduler_file/mod.rs
@@ -35,7 +35,7 @@
     pub memory_mb: usize,
     /// Address of the discovery service, which publishes the endpoint list; `None` if there is no service.
     pub discovery_service: Option<SocketAddr>,
-    /// The watch events published so far, sorted by offset.
+    /// The watch events that had been published when the file was written, sorted by offset.
     pub known_events: Vec<WatchEvent>,
     /// The site's settings.
     pub site: Site,
