--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,8 +18,8 @@
 //! - [`Policy`] makes the scheduling decisions. The types that it shares with other modules are exported from
 //!   the crate root.
 //! - [`logging`] writes the log of the process without blocking the event loop.
-//! - [`simulator_codec`] implements the simulator's protocol, over which the second program serves the same
-//!   policy.
+//! - [`simulator_codec`] implements the simulator's protocol, over which the program `function-scheduler-sim`
+//!   serves the same policy.
 //! - [`vrrp`] elects one of several servers. Like the policy, it has no clock and performs no I/O.
 //!
 //! # The policy
