--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -36,8 +36,8 @@
     /// Number of connections of any kind at or above which a client beyond the guaranteed number is served
     /// only if an idle connection can be closed for it.
     pub(super) connections: usize,
-    /// Number of connections of any kind at or above which a client is accepted only if an idle connection can
-    /// be closed for it. Below it, a client that cannot be served is accepted to reject its requests.
+    /// Number of connections of any kind at or above which a client is accepted only if an idle connection
+    /// can be closed for it. Below it, a client that cannot be served is accepted to reject its requests.
     pub(super) shedding: usize,
 }
 
