--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -77,7 +77,7 @@
     pub shared: &'a mut S,
     /// The current time.
     pub now: Time,
-    /// Earliest time at which the input that this callback handles may have arrived. The deadline of a
+    /// Earliest time at which the input that this callback handles may have arrived. The timeout of a
     /// request counts from it. It is before `now` if the process was busy or stopped, or if the client had to
     /// wait to be accepted.
     pub earliest_input_at: Time,
--- a/src/server/limits.rs
+++ b/src/server/limits.rs
@@ -37,7 +37,8 @@
     /// only if an idle connection can be closed for it.
     pub(super) connections: usize,
     /// Number of connections of any kind at or above which a client is accepted only if an idle connection
-    /// can be closed for it. Below it, a client that cannot be served is accepted to reject its requests.
+    /// can be closed for it. Below it, a client of the frame protocol that cannot be served is accepted only
+    /// to reject its requests.
     pub(super) shedding: usize,
 }
 
