--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -28,7 +28,7 @@
 /// The late response to an expired request must not be mistaken for the response to a newer request with the
 /// same id.
 #[test]
-fn late_answer_of_an_expired_request_is_ignored() {
+fn late_response_of_an_expired_request_is_ignored() {
     let (worker, _scheduler, mut client) = deploy();
     client.send_request(1, &request(IDEMPOTENT_CLASS, REQUEST_ID, 1000, b"a"));
     let mut old = worker.next_command();
