--- a/tests/server/correlation_ids.rs
+++ b/tests/server/correlation_ids.rs
@@ -66,7 +66,7 @@
 /// A worker responds twice to the same attempt. The second response arrives after the request was sent to it
 /// again, and does not end the new attempt.
 #[test]
-fn repeated_answer_does_not_end_the_next_attempt() {
+fn repeated_response_does_not_end_the_next_attempt() {
     for status in [WorkerStatus::AtCapacity, WorkerStatus::Error, WorkerStatus::Miss] {
         let (worker, _scheduler, mut client) = deploy_with_settings(large_fleet_settings());
         client.send_idempotent(1, 5_000, b"");
