--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -46,7 +46,7 @@
 
 /// An unreachable worker is silent. Its requests must not wait for their deadlines.
 #[test]
-fn requests_at_a_silent_worker_are_retried_and_its_late_answer_is_ignored() {
+fn requests_at_a_silent_worker_are_retried_and_its_late_response_is_ignored() {
     let workers = [StandInWorker::node_agent(), StandInWorker::node_agent()];
     let addresses = [workers[0].address(), workers[1].address()];
     let scheduler = SchedulerProcess::start_with_settings(&addresses, health_check_settings());
