--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -22,7 +22,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn requests_that_come_after_sigterm_are_answered() {
+fn requests_after_sigterm_get_responses() {
     let (worker, mut scheduler, mut client) = deploy();
     client.assert_ready();
     client.send_idempotent(1, 2900, b"");
