--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -43,7 +43,7 @@
 /// During a planned restart the scheduler reports that it is not ready, but still responds to open and new
 /// requests.
 #[test]
-fn jsonrpc_requests_are_answered_after_sigterm_too() {
+fn jsonrpc_requests_after_sigterm_get_responses() {
     let (worker, mut scheduler, mut client) = deploy_jsonrpc(default_settings());
     client.send_idempotent(1, 60_000, "");
     let mut command = worker.next_command();
