--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -155,7 +155,7 @@
 /// The client reads all responses at once, so that the scheduler can read the requests that were blocked
 /// behind them. They get responses, even though the connection has no open request at the time.
 #[test]
-fn requests_blocked_by_unread_responses_are_answered_before_exit() {
+fn requests_blocked_by_unread_responses_get_responses_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
     // The pause lets the scheduler write all buffered output and receive the last response in one turn of its
     // event loop.
