--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -275,9 +275,9 @@
         .filter(|frame| frame.frame_type == frame_type::RESPONSE);
     let streams_with_response: BTreeSet<u32> = responses.map(|frame| frame.stream).collect();
     for (n, sent_at) in sender.join().unwrap() {
-        let crossed = ended_at.saturating_duration_since(sent_at) < CLOSE_RACE_WINDOW;
+        let sent_while_closing = ended_at.saturating_duration_since(sent_at) < CLOSE_RACE_WINDOW;
         assert!(
-            crossed || streams_with_response.contains(&n),
+            sent_while_closing || streams_with_response.contains(&n),
             "request {n} has no response"
         );
     }
