--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn cancelled_request_and_closed_connection_get_no_answer() {
+fn cancelled_request_and_closed_connection_get_no_response() {
     let (worker, scheduler, mut client) = deploy();
     client.send_idempotent(1, 2900, b"");
     let mut command = worker.next_command();
