--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -92,7 +92,7 @@
 /// The worker closes the connection of the first attempt, and the client cancels or disconnects, in the same
 /// turn of the event loop. There is no second attempt.
 #[test]
-fn request_is_not_retried_for_a_client_that_left_in_the_same_turn() {
+fn request_is_not_retried_if_its_client_cancels_or_disconnects_in_the_same_turn() {
     for closes in [false, true] {
         let (worker, scheduler, mut client) = deploy_with_settings(large_fleet_settings());
         let mut other = FrameClient::connect(&scheduler);
