--- a/tests/server/connection_limits.rs
+++ b/tests/server/connection_limits.rs
@@ -50,14 +50,14 @@
 /// remaining time by 0.15 s at most.
 #[test]
 fn time_before_accept_counts_against_the_request_timeout() {
-    const ALLOWED_MS: u64 = 5_000;
+    const REQUEST_TIMEOUT_MS: u64 = 5_000;
     const ACCEPT_DELAY: Duration = Duration::from_millis(600);
     const SLACK_MS: u64 = 150;
     let worker = StandInWorker::node_agent();
     let scheduler = SchedulerProcess::start(&[worker.address()]);
     scheduler.limit_descriptors(1);
     let mut late = FrameClient::connect(&scheduler);
-    late.send_idempotent(1, ALLOWED_MS, b"");
+    late.send_idempotent(1, REQUEST_TIMEOUT_MS, b"");
     let sent_at = Instant::now();
     scheduler.wait_for_log("accept failed");
     thread::sleep(ACCEPT_DELAY);
@@ -66,7 +66,7 @@
     let waited_ms = sent_at.elapsed().as_millis() as u64;
     let time_limit_ms = command.message["attrs"]["ttl"].as_u64().unwrap();
     assert!(
-        time_limit_ms + waited_ms <= ALLOWED_MS + SLACK_MS,
+        time_limit_ms + waited_ms <= REQUEST_TIMEOUT_MS + SLACK_MS,
         "the worker was given {time_limit_ms} ms after a wait of {waited_ms} ms"
     );
 }
