--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -94,7 +94,7 @@
 
 /// Returns a burst of requests that get no response from the worker. They occupy all instances of the first
 /// worker, so that the other worker gets a load order.
-fn unanswered_burst() -> Vec<TestRequest> {
+fn burst_without_responses() -> Vec<TestRequest> {
     let unanswered = |n: u32| TestRequest {
         class: IDEMPOTENT_CLASS,
         id: request_id(n),
@@ -186,7 +186,7 @@
         .start();
     let logs = workers.map(|worker| worker.serve(reply_by_body));
     let mut client = connect(&scheduler);
-    let burst = unanswered_burst();
+    let burst = burst_without_responses();
     for (number, request) in (1000..).zip(&burst) {
         client.send_test_request(number, request);
     }
