--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -95,13 +95,13 @@
 /// Returns a burst of requests that get no response from the worker. They occupy all instances of the first
 /// worker, so that the other worker gets a load order.
 fn burst_without_responses() -> Vec<TestRequest> {
-    let unanswered = |n: u32| TestRequest {
+    let request_without_response = |n: u32| TestRequest {
         class: IDEMPOTENT_CLASS,
         id: request_id(n),
         timeout_ms: 1500,
         scenario: Scenario::WorkerSilent,
     };
-    (1000..1012).map(unanswered).collect()
+    (1000..1012).map(request_without_response).collect()
 }
 
 /// Final response to a request, independent of the frontend.
