--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -124,8 +124,8 @@
 }
 
 impl Traffic {
-    /// Sends a request in each `interval` until `length` has passed, and calls the functions in turn.
-    fn start(scheduler: &SchedulerProcess, interval: Duration, length: Duration) -> Traffic {
+    /// Sends a request in each `interval` until `duration` has passed, and calls the functions in turn.
+    fn start(scheduler: &SchedulerProcess, interval: Duration, duration: Duration) -> Traffic {
         let mut client = FrameClient::connect(scheduler);
         let mut output = client.stream.try_clone().unwrap();
         let began_at = Instant::now();
@@ -133,7 +133,7 @@
             let mut sent = Vec::new();
             for n in 1.. {
                 let at = began_at + interval * n;
-                if at > began_at + length {
+                if at > began_at + duration {
                     break;
                 }
                 thread::sleep(at.saturating_duration_since(Instant::now()));
