--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -151,9 +151,9 @@
 /// established, or while the scheduler waits to reconnect.
 #[test]
 fn discovery_address_change_takes_effect_at_once() {
-    let unaccepting = FullBacklogWorker::new();
+    let unresponsive = FullBacklogWorker::new();
     for old_address in [
-        unaccepting.address(),
+        unresponsive.address(),
         refusing_address(Ipv4Addr::new(127, 0, 0, 79)),
     ] {
         let worker = StandInWorker::node_agent();
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -171,9 +171,9 @@
 /// A request waits for a connection to be established no longer than the connect timeout.
 #[test]
 fn request_moves_to_another_worker_after_the_connect_timeout() {
-    let unaccepting = FullBacklogWorker::new();
+    let unresponsive = FullBacklogWorker::new();
     let worker = StandInWorker::node_agent();
-    let addresses = [unaccepting.address(), worker.address()];
+    let addresses = [unresponsive.address(), worker.address()];
     let scheduler = SchedulerProcess::start_with_settings(&addresses, default_settings());
     worker.serve(echo);
     let mut client = FrameClient::connect(&scheduler);
