--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -25,7 +25,7 @@
 }
 
 /// Reloads the configuration with `address` as the address of the discovery service.
-fn move_discovery(scheduler: &SchedulerProcess, address: SocketAddr) {
+fn change_discovery_address(scheduler: &SchedulerProcess, address: SocketAddr) {
     scheduler.apply_change(|config| config["bus"] = json!(address.to_string()));
 }
 
@@ -160,7 +160,7 @@
         let second = StandInWorker::node_agent();
         let moved = StandInDiscovery::new();
         let scheduler = start_watching(default_settings(), worker.address(), old_address);
-        move_discovery(&scheduler, moved.address());
+        change_discovery_address(&scheduler, moved.address());
         let mut watch = moved.accept_from(1);
         let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
         let first_draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
@@ -180,7 +180,7 @@
     let (worker, _discovery, scheduler, mut old_watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
     let moved = StandInDiscovery::new();
-    move_discovery(&scheduler, moved.address());
+    change_discovery_address(&scheduler, moved.address());
     let mut watch = moved.accept_from(1);
     // The old service reports the worker gone; the new service sends a different event with the same offset.
     old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
