--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -176,7 +176,7 @@
 /// Events of the old discovery service are ignored after the address change, even if they are already in the
 /// socket buffer.
 #[test]
-fn events_of_the_old_discovery_after_the_move_are_ignored() {
+fn events_of_the_old_discovery_service_are_ignored() {
     let (worker, _discovery, scheduler, mut old_watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
     let moved = StandInDiscovery::new();
