--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -168,9 +168,9 @@
     let mut command = workers[0].next_command();
     scheduler.write_operator_file("[jsonrpc]\nsocket = 7\n");
     assert_eq!(scheduler.reload(&config), ReloadResult::Rejected);
-    let no_socket = scheduler.folder.file("precious");
-    std::fs::write(&no_socket, "").unwrap();
-    scheduler.write_operator_file(&format!("[jsonrpc]\nsocket = {no_socket:?}\n"));
+    let not_a_socket = scheduler.folder.file("precious");
+    std::fs::write(&not_a_socket, "").unwrap();
+    scheduler.write_operator_file(&format!("[jsonrpc]\nsocket = {not_a_socket:?}\n"));
     assert_eq!(
         scheduler.reload(&config),
         ReloadResult::Rejected,
