--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -36,7 +36,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Waits for the next watch connection, which must continue after the event with this number.
+    /// Waits for the next watch connection, which must continue after the event with this offset.
     #[track_caller]
     pub(crate) fn accept_from(&self, offset: u64) -> WatchConnection {
         let watch = self.accept();
@@ -61,7 +61,7 @@
 /// The discovery service's end of a watch connection.
 pub(crate) struct WatchConnection {
     stream: TcpStream,
-    /// The number of the last event that the scheduler has received.
+    /// The offset of the last event that the scheduler has received.
     pub(crate) offset: u64,
 }
 
@@ -87,33 +87,33 @@
 }
 
 /// Encodes a watch event that changes one worker.
-pub(crate) fn delta_event(number: u64, worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
+pub(crate) fn delta_event(offset: u64, worker_id: u32, address: SocketAddr, state: WorkerState) -> Vec<u8> {
     event_frame(
         EventKind::Delta,
-        number,
+        offset,
         &worker_record(worker_id, address, state),
     )
 }
 
 /// Encodes a watch event that replaces the endpoint list with one ready worker.
-pub(crate) fn snapshot_event(number: u64, worker_id: u32, address: SocketAddr) -> Vec<u8> {
+pub(crate) fn snapshot_event(offset: u64, worker_id: u32, address: SocketAddr) -> Vec<u8> {
     event_frame(
         EventKind::Snapshot,
-        number,
+        offset,
         &worker_record(worker_id, address, WorkerState::Ready),
     )
 }
 
-/// Encodes the heartbeat that the service sends each second, with the number of its last event.
-pub(crate) fn heartbeat_frame(number: u64) -> Vec<u8> {
-    [&[0, 0, 0, 9][..], &number.to_be_bytes(), &[0]].concat()
+/// Encodes the heartbeat that the service sends each second, with the offset of its last event.
+pub(crate) fn heartbeat_frame(offset: u64) -> Vec<u8> {
+    [&[0, 0, 0, 9][..], &offset.to_be_bytes(), &[0]].concat()
 }
 
-fn event_frame(kind: EventKind, number: u64, record: &[u8]) -> Vec<u8> {
+fn event_frame(kind: EventKind, offset: u64, record: &[u8]) -> Vec<u8> {
     let length = 9 + record.len() as u32;
     [
         &length.to_be_bytes()[..],
-        &number.to_be_bytes(),
+        &offset.to_be_bytes(),
         &[kind as u8],
         record,
     ]
