--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -158,10 +158,10 @@
     ] {
         let worker = StandInWorker::node_agent();
         let second = StandInWorker::node_agent();
-        let moved = StandInDiscovery::new();
+        let new_discovery = StandInDiscovery::new();
         let scheduler = start_watching(default_settings(), worker.address(), old_address);
-        change_discovery_address(&scheduler, moved.address());
-        let mut watch = moved.accept_from(1);
+        change_discovery_address(&scheduler, new_discovery.address());
+        let mut watch = new_discovery.accept_from(1);
         let second_ready = delta_event(2, 2, second.address(), WorkerState::Ready);
         let first_draining = delta_event(3, 1, worker.address(), WorkerState::Draining);
         watch.send(&[second_ready, first_draining].concat());
@@ -179,9 +179,9 @@
 fn events_of_the_old_discovery_service_are_ignored() {
     let (worker, _discovery, scheduler, mut old_watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
-    let moved = StandInDiscovery::new();
-    change_discovery_address(&scheduler, moved.address());
-    let mut watch = moved.accept_from(1);
+    let new_discovery = StandInDiscovery::new();
+    change_discovery_address(&scheduler, new_discovery.address());
+    let mut watch = new_discovery.accept_from(1);
     // The old service reports the worker gone; the new service sends a different event with the same offset.
     old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
     watch.send(&delta_event(2, 2, second.address(), WorkerState::Draining));
--- a/tests/server/reload.rs
+++ b/tests/server/reload.rs
@@ -21,14 +21,14 @@
 fn new_configuration_is_applied_completely_or_rejected() {
     let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(default_settings());
     let second = StandInWorker::node_agent();
-    let moved = StandInDiscovery::new();
+    let new_discovery = StandInDiscovery::new();
     watch.send(&delta_event(2, 7, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
     let mut client = FrameClient::connect(&scheduler);
     client.send_idempotent(1, 60_000, b"");
     let mut command = worker.next_command();
     let mut config = scheduler.config.clone();
-    config["bus"] = json!(moved.address().to_string());
+    config["bus"] = json!(new_discovery.address().to_string());
     config["settings"]["classes"][1]["name"] = json!("exam-submit");
     let text = config.to_string();
     for bad in [
@@ -46,7 +46,7 @@
         "the old configuration stays in effect"
     );
     assert_eq!(scheduler.reload(&text), ReloadResult::Applied);
-    let mut watch = moved.accept();
+    let mut watch = new_discovery.accept();
     assert_eq!(watch.offset, 2, "the watch resumes after the last event");
     watch.send(&delta_event(3, 1, worker.address(), WorkerState::Draining));
     watch.send(&delta_event(4, 7, second.address(), WorkerState::Ready));
@@ -69,14 +69,14 @@
 #[test]
 fn partially_written_configuration_is_applied_once_complete() {
     let (_worker, _discovery, scheduler, _watch) = deploy_with_discovery(default_settings());
-    let moved = StandInDiscovery::new();
+    let new_discovery = StandInDiscovery::new();
     let mut config = scheduler.config.clone();
-    config["bus"] = json!(moved.address().to_string());
+    config["bus"] = json!(new_discovery.address().to_string());
     let text = config.to_string();
     assert_eq!(scheduler.reload(&text[..text.len() / 2]), ReloadResult::Rejected);
     scheduler.write_config(&text);
     scheduler.wait_for_log("reloaded");
-    moved.accept_from(1);
+    new_discovery.accept_from(1);
 }
 
 /// A reload shortens the time after which workers close idle connections. The scheduler closes connections
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -214,16 +214,16 @@
 fn reload_and_shutdown_in_one_event_loop_turn_both_take_effect() {
     for signals in [["HUP", "TERM"], ["TERM", "HUP"]] {
         let (worker, _discovery, mut scheduler, mut old_watch) = deploy_with_discovery(default_settings());
-        let moved = StandInDiscovery::new();
+        let new_discovery = StandInDiscovery::new();
         let mut client = FrameClient::connect(&scheduler);
         let mut command = client.send_request_to(&worker, 1);
         let mut config = scheduler.config.clone();
-        config["bus"] = json!(moved.address().to_string());
+        config["bus"] = json!(new_discovery.address().to_string());
         scheduler.write_config(&config.to_string());
         scheduler.signal("STOP");
         signals.iter().for_each(|signal| scheduler.signal(signal));
         scheduler.signal("CONT");
-        let _watch = moved.accept_from(1);
+        let _watch = new_discovery.accept_from(1);
         old_watch.wait_for_close();
         assert_eq!(client.next_frame(), Some(go_away()));
         command.succeed("eA==");
