--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -53,8 +53,8 @@
 
 #[test]
 fn the_configuration_has_defaults_and_its_events_are_in_order() {
-    let least = json!({"listen": "127.0.0.1:1", "settings": minimal_settings()});
-    let config = accepted(&least);
+    let minimal = json!({"listen": "127.0.0.1:1", "settings": minimal_settings()});
+    let config = accepted(&minimal);
     assert_eq!(
         (config.name.as_str(), config.seed, config.discovery_service),
         ("", 0, None)
@@ -68,12 +68,12 @@
         (1024, 192, 0)
     );
     for (configured, expected) in [(0.0, 1), (64.9, 64), (1e9, 1_000_000)] {
-        let mut limited = least.clone();
+        let mut limited = minimal.clone();
         limited["limits"] = json!({ "memory_mb": configured });
         assert_eq!(accepted(&limited).memory_mb, expected, "{configured}");
     }
 
-    let mut known = least;
+    let mut known = minimal;
     let delta = |offset| json!({"offset": offset, "topology": {"all": false}});
     known["known"] = json!({"batch": [delta(9), {"offset": 4, "topology": {"all": true}}, delta(7)]});
     let events = accepted(&known).known_events;
