--- a/tests/config/settings.rs
+++ b/tests/config/settings.rs
@@ -128,8 +128,8 @@
         site(&minimal_settings_with("classes", json!(classes))).unwrap()
     };
     let merged = site(&["a", "b"]).reloaded_with(site(&["c", "b", ""]));
-    let places: Vec<_> = ["a", "b", "c", ""].map(|name| merged.class_index(name)).to_vec();
-    assert_eq!(places, [None, Some(1), Some(2), Some(3)]);
+    let indexes: Vec<_> = ["a", "b", "c", ""].map(|name| merged.class_index(name)).to_vec();
+    assert_eq!(indexes, [None, Some(1), Some(2), Some(3)]);
     let classes = merged.settings.classes.iter();
     let deadlines: Vec<_> = classes.map(|class| class.deadline.0).collect();
     assert_eq!(
