--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -136,11 +136,11 @@
     );
 }
 
-/// Finishes the attempts from index `answered` on, and those that follow, with the responses of workers of
+/// Finishes the attempts from index `finished_count` on, and those that follow, with the responses of workers of
 /// which the first two are draining.
-fn respond_to_attempts(harness: &mut PolicyHarness, answered: &mut usize) {
-    while let Some(sent) = harness.sent.get(*answered).copied() {
-        *answered += 1;
+fn respond_to_attempts(harness: &mut PolicyHarness, finished_count: &mut usize) {
+    while let Some(sent) = harness.sent.get(*finished_count).copied() {
+        *finished_count += 1;
         let is_draining = sent.worker.0 <= 2;
         let status = if is_draining {
             AttemptStatus::AtCapacity
@@ -157,10 +157,10 @@
     harness.watch_changed(WatchStatus::Requested);
     let stale_at = harness.now + USABLE_GRACE;
     harness.advance_ms(100);
-    let mut answered = 0;
+    let mut finished_count = 0;
     for n in 0..12 {
         harness.receive(request(n, u64::from(n)));
-        respond_to_attempts(&mut harness, &mut answered);
+        respond_to_attempts(&mut harness, &mut finished_count);
     }
     let used = harness.workers_used();
     assert!(
@@ -172,7 +172,7 @@
     for n in 100..140 {
         let actions = harness.receive(request(n, u64::from(n)));
         assert_eq!(rejection_cause(&actions), None);
-        respond_to_attempts(&mut harness, &mut answered);
+        respond_to_attempts(&mut harness, &mut finished_count);
     }
     let sent_late = &harness.sent[before..];
     assert!(sent_late.len() >= 37, "three at most wait to renew a lease");
