--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -328,8 +328,8 @@
         advance_until_sent(&mut harness, sent_before);
         harness.finish_last_attempt(AttemptStatus::Ok);
         harness.advance_ms(100);
-        let was_lost = status == AttemptStatus::ConnectFailed;
-        let expected = if was_lost {
+        let was_unreachable = status == AttemptStatus::ConnectFailed;
+        let expected = if was_unreachable {
             Err(WorkerUnavailable::LeaseExpired)
         } else {
             Ok(())
