--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_list_is_stale_once_what_was_not_delivered_counts_as_notified() {
+fn the_list_is_stale_a_usable_grace_period_after_undelivered_changes_count_as_notified() {
     use WatchStatus::{Confirmed, Disabled, Disconnected, EventReceived, Requested};
     let second = 1_000;
     let cases: [(Vec<Change>, Option<u64>); 9] = [
