--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn only_an_accepted_attempt_renews_the_lease_of_its_worker_and_from_its_sending() {
+fn only_an_accepted_attempt_renews_the_lease_of_its_worker_from_the_time_of_sending() {
     let cases = [
         (AttemptStatus::Ok, true),
         (AttemptStatus::Error, false),
