--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_process_that_has_replaced_another_does_not_have_its_lease() {
+fn a_restarted_worker_does_not_keep_its_lease() {
     let mut harness = harness(1);
     harness.watch_changed(WatchStatus::Requested);
     harness.receive(request(1, 7));
