--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -217,7 +217,7 @@
 
 /// An attempt in flight that was sent in time may still renew a lease, so requests wait for its response.
 #[test]
-fn requests_wait_for_an_attempt_that_may_bring_a_lease() {
+fn requests_wait_for_an_attempt_that_may_renew_a_lease() {
     let mut harness = harness(1);
     harness.watch_changed(WatchStatus::Requested);
     harness.receive(request(1, 7));
