--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -5,7 +5,7 @@
 use function_scheduler::{Action, AttemptStatus, OnMiss, RequestId};
 
 #[test]
-fn request_whose_attempt_is_unanswered_fails_just_before_its_deadline() {
+fn request_whose_attempt_gets_no_response_fails_just_before_its_deadline() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
     harness.receive(request_of_class(1, 7, NON_IDEMPOTENT));
     assert!(
