--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -85,7 +85,7 @@
 /// workers unreachable and others overloaded, too few are healthy for ejected workers to be left out
 /// (rennes-campus, day 3).
 #[test]
-fn undeliverable_request_tries_each_worker_once_however_many_are_lost() {
+fn request_is_sent_to_each_worker_only_once_if_all_are_unreachable() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 5);
     harness.receive(request(1, 7));
     for _ in 0..4 {
