--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -185,7 +185,7 @@
 /// start long after its client has left, with an outdated time limit and, if keyed, possibly outside its
 /// deduplication window.
 #[test]
-fn a_partial_write_is_not_completed_after_its_client_left() {
+fn a_partial_write_is_not_completed_after_its_request_is_cancelled() {
     const BODY_LARGER_THAN_SOCKET_BUFFERS: usize = 16 << 20;
     let worker = RawWorker::new();
     let mut reactor = reactor_with_one_worker();
