--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -84,7 +84,7 @@
 }
 
 /// Thousands of attempts end while a request that the worker never answers keeps their connection in use.
-/// The number of remembered routes must follow the attempts in flight, not all attempts of the connection.
+/// The number of tracked routes must follow the attempts in flight, not all attempts of the connection.
 #[test]
 fn ended_attempts_are_forgotten_while_their_connection_is_in_use() {
     let worker = RawWorker::new();
@@ -105,8 +105,8 @@
             while scheduler.next_command().is_some() {}
         }
         pool.remove_ended_attempts(scheduler);
-        let remembered = pool.tracked_attempt_count();
-        assert!(remembered < 500, "{remembered} of {n} are remembered");
+        let tracked = pool.tracked_attempt_count();
+        assert!(tracked < 500, "{tracked} of {n} are tracked");
     }
     assert_eq!(reactor.shared.scheduler.attempts_in_flight(), 1);
 }
