--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -165,8 +165,8 @@
             admits_load_order_of(&mut scheduler, n, time_of(n)),
             "no rate limit yet"
         );
-        let remembered = scheduler.retained_load_orders();
-        assert!(remembered < 700, "{remembered} after {n}");
+        let retained = scheduler.retained_load_orders();
+        assert!(retained < 700, "{retained} after {n}");
     }
     settings["familyInfo"]["loadSpanNs"] = json!(5_000_000_000u64);
     settings["familyInfo"]["loadsAnyway"] = json!(40);
