--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -86,7 +86,7 @@
 /// Thousands of attempts end while a request that the worker never answers keeps their connection in use.
 /// The number of tracked routes must follow the attempts in flight, not all attempts of the connection.
 #[test]
-fn ended_attempts_are_forgotten_while_their_connection_is_in_use() {
+fn ended_attempts_are_removed_while_their_connection_is_in_use() {
     let worker = RawWorker::new();
     let mut reactor = reactor_with_one_worker();
     let mut pool = Pool::new(unlimited());
