--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which requests are rejected early, and when.
+//! Tests of load shedding: which requests are rejected early, and when.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures, workers_sent_to};
@@ -26,7 +26,7 @@
     assert_eq!(
         rejections_and_failures(&actions),
         vec![rejection],
-        "before half of its time of 2500 ms"
+        "rejected before half of its 2500 ms has passed"
     );
 }
 
--- a/tests/policy/concurrency_limit.rs
+++ b/tests/policy/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit on the requests in flight at each worker.
+//! Tests of the adaptive limit on the requests in flight at each worker.
 
 use crate::support::policy_fixtures::{attempt_outcome, request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, workers_sent_to};
@@ -78,7 +78,7 @@
         .count();
     assert!(
         (4..=6).contains(&sent),
-        "cut for the slow responses alone: {sent}"
+        "the limit is lowered for the slow responses alone: {sent}"
     );
 }
 
@@ -97,7 +97,10 @@
 fn requests_that_wait_for_loads_leave_capacity_for_others() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
     let sent = sent_of_30_requests(&mut harness, 100);
-    assert_eq!(sent, 15, "nothing is loaded: each counts half of the limit of 8");
+    assert_eq!(
+        sent, 15,
+        "no instance is loaded: each request counts as half against the limit of 8"
+    );
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 1);
     harness.receive(request(1, 0));
     harness.finish_last_attempt(AttemptStatus::Ok);
--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -1,4 +1,4 @@
-//! Leases: until when workers are sent new work while discovery does not confirm the endpoint list.
+//! Tests of leases: until when workers are sent new work while discovery does not confirm the endpoint list.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, requested_loads, workers_sent_to};
@@ -9,6 +9,7 @@
 
 /// Usable part of the grace period of [`test_settings`], which is 500 ms.
 const USABLE_GRACE: Span = Span::from_millis(450);
+/// Smallest step of the clock, 1 ns.
 const ONE_STEP: Span = Span(1);
 /// Upper bound of the time for which a request is held to renew a lease.
 const LONGEST_WAIT: Span = Span::from_millis(2_500);
@@ -37,7 +38,7 @@
     PolicyHarness::new(settings(), workers)
 }
 
-/// Creates a policy whose list has just become stale.
+/// Creates a policy whose endpoint list has just become stale.
 fn harness_with_stale_list(workers: u64) -> PolicyHarness {
     let mut harness = harness(workers);
     harness.watch_changed(WatchStatus::Requested);
@@ -82,8 +83,8 @@
     }
 }
 
-/// Advances the time until the next attempt is sent, which may be held to renew the last lease, and returns
-/// that time.
+/// Advances the clock until the next attempt is sent, and returns that time. The attempt may be held to renew
+/// the last lease.
 fn advance_until_sent(harness: &mut PolicyHarness, sent_before: usize) -> Time {
     let end = harness.now + LONGEST_WAIT;
     while harness.sent.len() == sent_before {
@@ -136,8 +137,8 @@
     );
 }
 
-/// Finishes the attempts from index `finished_count` on, and those that follow, with the responses of workers of
-/// which the first two are draining.
+/// Finishes all attempts after the first `finished_count`, including those sent in the meantime, and updates
+/// the count. Workers 1 and 2 are draining and reject their attempts as at capacity; the others succeed.
 fn respond_to_attempts(harness: &mut PolicyHarness, finished_count: &mut usize) {
     while let Some(sent) = harness.sent.get(*finished_count).copied() {
         *finished_count += 1;
@@ -227,7 +228,7 @@
     assert_eq!(
         rejection_cause(&actions),
         None,
-        "the list is stale, but a lease may come"
+        "the list is stale, but the lease may be renewed"
     );
     harness.finish_attempt(RequestId(1), 0, AttemptStatus::Ok);
     harness.advance_ms(340);
@@ -259,7 +260,8 @@
     }
 }
 
-/// Prewarming issues load orders without any request that could fail to find a worker.
+/// Prewarming sends load orders that no request causes, so the lease check in the placement of requests does
+/// not cover them.
 #[test]
 fn an_unconfirmed_worker_is_not_prewarmed() {
     for is_stale in [false, true] {
@@ -280,7 +282,8 @@
     }
 }
 
-/// Changes of workers that the configuration lists are not published.
+/// Discovery does not publish changes of the workers that the configuration lists, so their leases do not
+/// expire.
 #[test]
 fn a_worker_of_the_configuration_needs_no_lease() {
     let mut harness = harness_with_stale_list(0);
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: workers that fail or do not respond are avoided, and their requests are placed
+//! Tests of outlier detection: workers that fail or do not respond are avoided, and their requests are placed
 //! elsewhere.
 
 use crate::support::policy_fixtures::{
@@ -59,7 +59,7 @@
     assert!(attempts_at_faulty < 15, "{attempts_at_faulty} of 99");
 }
 
-/// Guards against requests that are lost until their deadlines at an unreachable machine, which resets no
+/// Guards against requests that wait until their deadlines for an unreachable machine, which resets no
 /// connection.
 #[test]
 fn silent_worker_is_health_checked_and_its_requests_are_placed_elsewhere() {
@@ -104,7 +104,7 @@
     assert_eq!(
         health_check_count(&harness.advance_ms(700)),
         0,
-        "it is alive and only slow"
+        "the worker is alive and only slow"
     );
 }
 
@@ -123,8 +123,8 @@
     worker
 }
 
-/// Guards against sending requests to an unreachable zone, where each is lost until its deadline. Health
-/// checks are not allowed there, and no connection is reset (rennes-campus, case3338).
+/// Guards against sending requests to an unreachable zone, where each waits until its deadline. Health checks
+/// are not allowed there, and no connection is reset (rennes-campus, case3338).
 #[test]
 fn zone_that_is_silent_to_several_requests_is_ejected_and_its_requests_are_placed_elsewhere() {
     let mut settings = test_settings(OnMiss::Load);
--- a/tests/policy/load_rate_limit.rs
+++ b/tests/policy/load_rate_limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit on load orders.
+//! Tests of the rate limit on load orders.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, requested_loads, workers_sent_to};
@@ -55,7 +55,7 @@
             .count() as f64;
         assert!(
             count <= 2.0 + 0.1 * requests + 1e-9,
-            "load {n}: {count} of {requests} requests"
+            "load order {n}: {count} load orders for {requests} requests in the window"
         );
     }
 }
--- a/tests/policy/outage_service.rs
+++ b/tests/policy/outage_service.rs
@@ -1,4 +1,4 @@
-//! Service during a discovery outage in which workers drain, with random arrivals and latencies.
+//! Tests of service during a discovery outage in which workers drain, with random arrivals and latencies.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::PolicyHarness;
@@ -17,13 +17,15 @@
 const OUTAGE_MS: u64 = 12_000;
 /// Grace period of [`test_settings`].
 const GRACE_MS: u64 = 500;
+/// Time after the start of the outage at which undelivered changes count as notified.
 const NOTIFIED_AFTER_MS: u64 = 4_000;
+/// Latency of an attempt that a draining worker rejects.
 const REJECTION_LATENCY_MS: u64 = 1;
-/// Times at which the workers with the lowest ids begin to drain, from the beginning of the outage.
+/// Times after the start of the outage at which the workers with the lowest ids begin to drain.
 ///
-/// The first two drain early. The third drains once undelivered changes count as notified at once.
+/// The first two drain early. The third drains when undelivered changes already count as notified at once.
 const DRAINS_MS: [u64; 3] = [200, 300, 7_000];
-/// Time after the last arrivals in which their responses may still come.
+/// Time after the last arrivals within which responses to them may still arrive.
 const LAST_RESPONSES_MS: u64 = 2_500;
 
 /// An attempt that will get a response.
@@ -82,7 +84,7 @@
         served as f64 / late_requests.len() as f64
     }
 
-    /// Returns the time between two requests of a Poisson process.
+    /// Returns a random time between two requests of a Poisson process with `rate` requests per second.
     fn random_interval_ms(&mut self, rate: f64) -> f64 {
         let uniform = (self.random.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         -(1.0 - uniform).ln() / rate * 1e3
@@ -166,10 +168,11 @@
     fractions.sum::<f64>() / SEEDS as f64
 }
 
-/// Cases: rate in requests per second, latencies, and the mean fraction, 0 to 1, that must be served.
+/// Each case has a rate in requests per second, a range of latencies, and the mean fraction, 0 to 1, of the
+/// requests that must be served.
 ///
-/// At low rates, the only worker that still has a lease may be the one that drains late; then no worker is
-/// left.
+/// At low rates, the only worker that still has a lease may be the one that drains late; then no worker may
+/// be sent new work.
 #[test]
 fn scheduler_serves_requests_through_a_discovery_outage_at_any_rate() {
     let cases = [
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which worker a request is sent to.
+//! Tests of placement: which worker a request is sent to.
 
 use crate::support::policy_fixtures::{attempt_outcome, ready_endpoint, request, test_settings};
 use crate::support::policy_harness::{
@@ -19,7 +19,7 @@
     assert_eq!(
         harness.receive_and_place(request(2, 7)),
         primary,
-        "it stays on the warm worker"
+        "the function stays on the warm worker"
     );
 }
 
@@ -86,7 +86,10 @@
         let sent = harness.receive_and_place(request(n, 7));
         elsewhere += sent.iter().filter(|worker| **worker != primary).count();
     }
-    assert_eq!(elsewhere, 0, "warm while it has capacity");
+    assert_eq!(
+        elsewhere, 0,
+        "requests stay on the warm worker while it has capacity"
+    );
     let actions = harness.advance_ms(300);
     assert!(
         workers_sent_to(&actions).iter().any(|worker| *worker != primary),
--- a/tests/policy/prewarm.rs
+++ b/tests/policy/prewarm.rs
@@ -1,4 +1,4 @@
-//! Load orders: which functions are loaded ahead of requests, and where.
+//! Tests of load orders: which functions are loaded ahead of requests, and where.
 
 use crate::support::policy_fixtures::{request, test_settings};
 use crate::support::policy_harness::{PolicyHarness, RequestedLoad, requested_loads, workers_sent_to};
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,5 @@
-//! Retries: which failed attempts are followed by another, and how a request without a further attempt ends.
+//! Tests of retries: which failed attempts are followed by another, and how a request without a further
+//! attempt ends.
 
 use crate::support::policy_fixtures::{KEYED, NON_IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures, workers_sent_to};
@@ -99,8 +100,8 @@
     );
 }
 
-/// No connection can be opened for a moment. An attempt that was not sent does not count, and is not
-/// repeated immediately without end.
+/// For a moment no connection can be opened. An attempt that was not sent does not count against the maximum
+/// number of attempts, and it is not repeated immediately without end.
 #[test]
 fn attempts_that_were_not_sent_neither_count_nor_follow_at_once() {
     let mut harness = PolicyHarness::new(test_settings(OnMiss::Load), 2);
--- a/tests/policy/robustness.rs
+++ b/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Robustness against unknown, repeated and invalid events, and determinism.
+//! Tests of determinism and of robustness against unknown, repeated and invalid events.
 
 use crate::support::policy_fixtures::{IDEMPOTENT, request, request_of_class, test_settings};
 use crate::support::policy_harness::{PolicyHarness, rejections_and_failures};
--- a/tests/policy/simulated_fleet.rs
+++ b/tests/policy/simulated_fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of schedulers that receives more requests than its workers can serve, one of which
+//! A simulated fleet of schedulers that receives more requests than its workers can serve. One of the workers
 //! starts cold.
 
 use crate::support::policy_fixtures::{endpoint_started_at, ready_endpoint, request, test_settings};
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: workers that have just started get no more requests than they can serve while they warm up.
+//! Tests of slow start: workers that have just started get no more requests than they can serve while they
+//! warm up.
 
 use crate::simulated_fleet::{
     COLD_WORKER, OVERLOAD_WINDOW_MS, Restart, SCHEDULERS, SimulatedFleet, cold_budget,
@@ -185,8 +186,8 @@
 }
 
 /// The start time may be in the future: the wall clock of the worker may be ahead, or the clock of this
-/// machine may have been stepped back. A worker cannot start after it is listed, so it must warm up from
-/// then on, not an hour later.
+/// machine may have been stepped back. A worker cannot start after it is listed, so it must warm up from the
+/// time at which it is listed, not an hour later.
 #[test]
 fn worker_with_a_start_time_in_the_future_still_warms_up() {
     let hour = Span::from_millis(3_600_000);
