--- a/tests/scheduler_state.rs
+++ b/tests/scheduler_state.rs
@@ -1,6 +1,6 @@
-//! State that the scheduler and its connection pool keep of past attempts and load orders. It must suffice
-//! for correct decisions and stay bounded over time. The tests use both as library types, without the
-//! program.
+//! Tests of the state that the scheduler and its connection pool keep of past attempts and load orders. The
+//! state must suffice for correct decisions and stay bounded over time. The tests use the scheduler and the
+//! pool as library types, without the program.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -83,8 +83,8 @@
     sent.expect("the request is sent")
 }
 
-/// Thousands of attempts end while a request that the worker never answers keeps their connection in use.
-/// The number of tracked routes must follow the attempts in flight, not all attempts of the connection.
+/// Thousands of attempts end while a request that gets no response keeps their connection in use. The number
+/// of tracked attempts must follow the attempts in flight, not all attempts of the connection.
 #[test]
 fn ended_attempts_are_removed_while_their_connection_is_in_use() {
     let worker = RawWorker::new();
@@ -111,8 +111,8 @@
     assert_eq!(reactor.shared.scheduler.attempts_in_flight(), 1);
 }
 
-/// Submits a request for a separate function, answers its attempts with a miss, and returns the resulting
-/// load order.
+/// Submits the n-th request, for a function of its own, ends its attempts with a miss, and returns the
+/// resulting load order.
 fn next_load_order(scheduler: &mut Scheduler, n: u64, now: Time) -> LoadOrderId {
     scheduler.fire_timers(now);
     scheduler.submit(now, client_request(n, FunctionId(n), now));
@@ -126,8 +126,8 @@
     panic!("no load order for request {n}");
 }
 
-/// Returns whether the load order of the n-th request is admitted. Ends the order and cancels the request
-/// either way.
+/// Submits the n-th request and returns whether its load order is admitted. Ends the order and cancels the
+/// request in either case.
 fn admits_load_order_of(scheduler: &mut Scheduler, n: u64, now: Time) -> bool {
     let order = next_load_order(scheduler, n, now);
     let admitted = scheduler.admits_load_order(now, order);
@@ -149,8 +149,8 @@
     admitted
 }
 
-/// Load orders are written without a rate limit until a new configuration sets one. Those within its window
-/// must count against it, and older ones must not be kept.
+/// Load orders are written without a rate limit until a new configuration sets one. Load orders within the
+/// window of the new limit must count against it, and older ones must not be retained.
 #[test]
 fn load_orders_written_before_a_rate_limit_count_and_expire() {
     const REQUESTS_BEFORE: u64 = 2_000;
@@ -182,7 +182,7 @@
 
 /// A worker stops reading until an attempt is only partially written, and then the client cancels the
 /// request. When the worker resumes reading, the rest of the attempt must not be written: the request would
-/// start long after its client has left, with an outdated time limit and, if keyed, possibly outside its
+/// start long after its client cancelled it, with an outdated time limit and, if keyed, possibly outside its
 /// deduplication window.
 #[test]
 fn a_partial_write_is_not_completed_after_its_request_is_cancelled() {
