--- a/tests/client.rs
+++ b/tests/client.rs
@@ -1,4 +1,4 @@
-//! Tests of the embedded client: each submitted request gets one response, and a cancelled request none.
+//! Tests of the embedded client: each submitted request gets one response, and a cancelled request gets none.
 
 #[allow(dead_code, reason = "each test crate uses a part of the support code")]
 mod support;
@@ -22,7 +22,7 @@
 }
 
 /// Polls until this many requests have completed or the wait limit has passed, and returns the completed
-/// ones.
+/// requests.
 fn wait_for(client: &mut Client, count: usize) -> Vec<CompletedRequest> {
     let until = client.now() + Span::from_millis(WAIT_LIMIT.as_millis() as u64);
     let mut completed = Vec::new();
--- a/tests/documentation/names.rs
+++ b/tests/documentation/names.rs
@@ -23,8 +23,8 @@
 /// Prefixes of the paths that pages name.
 const FOLDERS: [&str; 5] = ["src/", "tests/", "crates/", "docs/", "deploy/"];
 
-/// Returns whether a quoted word of a page is a name in the code: a path, a type, a constant, or a name of
-/// several words.
+/// Returns whether a quoted word of a page has the form of a name in the code: a path, a type, a constant, or
+/// a name of several words.
 fn is_code_name(word: &str) -> bool {
     let is_name = |part: &str| {
         part.starts_with(|c: char| c.is_ascii_alphabetic())
--- a/tests/simulator/events.rs
+++ b/tests/simulator/events.rs
@@ -40,7 +40,7 @@
         Event::HealthCheckFinished { worker, status },
     ] = decode_events([ACCEPT, answer, probe_result])
     else {
-        panic!("other events")
+        panic!("unexpected events")
     };
     assert_eq!(request.concurrency, 2.0);
     assert_eq!(request.memory_mb, 384.0);
@@ -65,7 +65,7 @@
         Event::LoadFinished(outcome),
     ] = decode_events([timer, cancelled_by_client, stands])
     else {
-        panic!("other events")
+        panic!("unexpected events")
     };
     assert_eq!(disconnected, OTHER_REQUEST);
     assert_eq!(outcome.instances, 1);
