--- a/tests/support/discovery.rs
+++ b/tests/support/discovery.rs
@@ -104,7 +104,7 @@
     )
 }
 
-/// Encodes the heartbeat that the service sends each second, with the offset of its last event.
+/// Encodes a heartbeat, which names the offset of the service's last event.
 pub(crate) fn heartbeat_frame(offset: u64) -> Vec<u8> {
     [&[0, 0, 0, 9][..], &offset.to_be_bytes(), &[0]].concat()
 }
--- a/tests/support/frame_client.rs
+++ b/tests/support/frame_client.rs
@@ -1,7 +1,7 @@
 //! A stand-in client of the frame protocol.
 //!
 //! Requests are encoded by the crate, and one test compares that encoding with literal bytes. Responses are
-//! decoded here, with the types and codes that the protocol page defines, so that the tests detect a fault in
+//! decoded here, with the types and codes that the page PROTOCOL defines, so that the tests detect a fault in
 //! the crate's codec.
 
 use super::scheduler_process::SchedulerProcess;
--- a/tests/support/raw_worker.rs
+++ b/tests/support/raw_worker.rs
@@ -66,7 +66,7 @@
     }
 
     /// Accepts the connection that fills the backlog, so that the pending connection is established, and
-    /// returns the latter.
+    /// returns the pending connection.
     pub(crate) fn accept_pending(&self) -> RawConnection {
         self.listener.accept().unwrap();
         RawConnection::accept_from(&self.listener)
--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -177,7 +177,8 @@
         })
     }
 
-    /// Reloads the configuration with which the program was started after a change, which must be applied.
+    /// Reloads the configuration with which the program was started, modified by `change`; panics if the
+    /// reload is rejected.
     #[track_caller]
     pub(crate) fn apply_change(&self, change: impl FnOnce(&mut Value)) {
         let mut config = self.config.clone();
--- a/tests/support/simulator_wire.rs
+++ b/tests/support/simulator_wire.rs
@@ -1,4 +1,4 @@
-//! Encodes records and batches of the simulator's wire format, as its page defines them.
+//! Encodes records and batches of the simulator's wire format, as the page WIRE defines them.
 
 /// An `ACCEPT` record of a request for instance 3, in hexadecimal.
 pub(crate) const ACCEPT: &str = "03 0000002f 0003 5d3a91c4 40000000 0000 00000000 0000 000000000e4e1c00 \
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -83,8 +83,9 @@
         self.commands.try_recv().ok()
     }
 
-    /// Returns whether no command is pending, among all that the scheduler sent before the response that the
-    /// caller has just read.
+    /// Returns whether no command is pending.
+    ///
+    /// The result covers the commands that the scheduler sent before the response that the caller read last.
     pub(crate) fn is_idle(&self) -> bool {
         self.commands.try_recv().is_err()
     }
