--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -1,10 +1,10 @@
 //! Tests with workers that drain while the discovery service is unreachable.
 //!
 //! A change that discovery cannot deliver counts as notified anyway, at most 4 s after the outage began. A
-//! draining worker rejects new work like a worker at capacity, which the scheduler retries after a short
-//! pause. A scheduler that ignores the age of its endpoint list therefore keeps sending attempts and load
-//! orders to draining workers after the grace period, for as long as the outage lasts. Placement, load orders
-//! and the check before a write must all consider the age of the list.
+//! draining worker rejects new work with the status of a worker at capacity, so the scheduler retries after a
+//! short pause. A scheduler that ignores the age of its endpoint list therefore keeps sending attempts and
+//! load orders to draining workers after the grace period, for as long as the outage lasts. Placement, load
+//! orders and the check before a write must all consider the age of the list.
 
 use crate::support::configuration::Configuration;
 use crate::support::discovery::{StandInDiscovery, WatchConnection, heartbeat_frame};
@@ -124,7 +124,7 @@
 }
 
 impl Traffic {
-    /// Sends a request in each `interval` until `duration` has passed, and calls the functions in turn.
+    /// Sends one request per `interval` until `duration` has passed, to each of the functions in turn.
     fn start(scheduler: &SchedulerProcess, interval: Duration, duration: Duration) -> Traffic {
         let mut client = FrameClient::connect(scheduler);
         let mut output = client.stream.try_clone().unwrap();
@@ -159,7 +159,7 @@
         Traffic { sender, receiver }
     }
 
-    /// Waits for all requests to end; returns the fraction (0 to 1) served of those sent from `since` on.
+    /// Waits for all requests to end. Returns the served fraction, 0 to 1, of those sent from `since` on.
     fn served_fraction_since(self, since: Instant) -> f64 {
         let mut sent = self.sender.join().unwrap();
         let served = self.receiver.join().unwrap();
@@ -178,7 +178,7 @@
     Refusing,
 }
 
-/// Asserts that workers that drain in an outage get no new work after the grace period, and the others serve.
+/// Asserts that draining workers get no new work after the grace period, and that the others serve requests.
 fn assert_draining_workers_get_no_new_work(mode: &OutageMode, interval: Duration) {
     let Deployment {
         draining,
@@ -190,7 +190,7 @@
     thread::sleep(WARM_UP);
     watch.send(&heartbeat_frame(1));
     let outage_began_at = Instant::now();
-    // In the silent mode both stay open until the end of the test.
+    // In silent mode, the listener and the watch connection stay open until the traffic has ended.
     let mut open = Some((discovery, watch));
     if matches!(mode, OutageMode::Refusing) {
         open = None;
--- a/tests/server/discovery_watch.rs
+++ b/tests/server/discovery_watch.rs
@@ -89,8 +89,8 @@
     sender.join().unwrap();
 }
 
-/// A new worker takes over the address of an old one that no event has reported gone. Requests sent to the
-/// old worker id would reach the new worker without counting against its slow start.
+/// A new worker takes over the address of an old worker that no event has reported as gone. Requests sent to
+/// the old worker id would reach the new worker without counting against its slow start.
 #[test]
 fn new_worker_at_an_old_address_replaces_the_old_one() {
     let (worker, _discovery, scheduler, mut watch) = deploy_with_discovery(large_fleet_settings());
@@ -119,8 +119,9 @@
     serve_request(60);
 }
 
-/// A snapshot is truncated on the first connection and arrives complete, and twice, on the next. It omits the
-/// worker to which a request waits to be sent, so the request is placed on the other worker.
+/// A snapshot is truncated on the first watch connection, and arrives complete and twice on the next. The
+/// snapshot omits the worker to which a request waits to be sent, so the request is placed on the worker that
+/// the snapshot lists.
 #[test]
 fn request_is_placed_again_when_a_snapshot_omits_its_worker() {
     let omitted = FullBacklogWorker::new();
@@ -147,8 +148,8 @@
     connection.assert_nothing_received();
 }
 
-/// SIGHUP reloads a new address of the discovery service while the connection to the old address is being
-/// established, or while the scheduler waits to reconnect.
+/// A reload on SIGHUP changes the address of the discovery service while the connection to the old address is
+/// being established, or while the scheduler waits to reconnect.
 #[test]
 fn discovery_address_change_takes_effect_at_once() {
     let unresponsive = FullBacklogWorker::new();
@@ -182,7 +183,7 @@
     let new_discovery = StandInDiscovery::new();
     change_discovery_address(&scheduler, new_discovery.address());
     let mut watch = new_discovery.accept_from(1);
-    // The old service reports the worker gone; the new service sends a different event with the same offset.
+    // The old service reports the worker as gone; the new one sends a different event with the same offset.
     old_watch.try_send(&delta_event(2, 1, worker.address(), WorkerState::Gone));
     watch.send(&delta_event(2, 2, second.address(), WorkerState::Draining));
     scheduler.wait_for_counter("endpoint_updates", 2);
