--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -66,7 +66,7 @@
     assert!(!scheduler.folder.file(SOCKET_NAME).exists());
 }
 
-/// Shutdown of a scheduler while one client has not read its responses.
+/// A scheduler that shuts down while one client has not read its responses.
 struct ShutdownWithBacklog {
     scheduler: SchedulerProcess,
     /// Client that has sent a request on stream 1 and on each stream from 3 to `last_stream`, and has read
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Asserts that `frames` serve each request of `reader` once, including the pending one.
+    /// Asserts that `frames` contain one served response to each request of `reader`, including the pending
+    /// one.
     fn assert_all_served(&self, mut frames: Vec<ReceivedFrame>) {
         frames.retain(|frame| frame.frame_type == frame_type::RESPONSE);
         let count = frames.len() as u32;
@@ -153,7 +154,8 @@
 }
 
 /// The client reads all responses at once, so that the scheduler can read the requests that were blocked
-/// behind them. They get responses, even though the connection has no open request at the time.
+/// behind them. The blocked requests get responses, even though the connection has no open request at the
+/// time.
 #[test]
 fn requests_blocked_by_unread_responses_get_responses_before_exit() {
     let mut shutdown = ShutdownWithBacklog::begin();
@@ -175,9 +177,9 @@
     shutdown.scheduler.expect_orderly_exit();
 }
 
-/// SIGTERM comes while a request is queued for a connection that is not established and discovery is down.
-/// Valid and invalid reloads, a second SIGTERM and a request of a new client follow. Both requests are served
-/// before exit.
+/// SIGTERM arrives while the discovery service is unreachable and a request waits for a worker connection to
+/// be established. Valid and invalid reloads, a second SIGTERM and a request of a new client follow.
+/// Both requests are served before exit.
 #[test]
 fn queued_and_late_requests_are_served_through_reloads_after_sigterm() {
     let worker = FullBacklogWorker::new();
@@ -237,10 +239,10 @@
 fn assert_shutdown_before_kill(deadline_ms: u64) {
     const INTERVAL: Duration = Duration::from_millis(50);
     const REQUESTS: u32 = 120;
-    /// A request sent less than this before the connection closes may have no response; clients send it
-    /// again.
+    /// Time before the close of the connection within which a request may get no response. Clients send such
+    /// requests again.
     const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
-    // The longest deadline, capped at 3 s, plus 0.7 s (page PROTOCOL).
+    // The process may be killed after the longest deadline, capped at 3 s, plus 0.7 s (page PROTOCOL).
     let killed_after = Duration::from_millis(deadline_ms.min(3_000) + 700);
     let mut settings = default_settings();
     for class in settings["classes"]
--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -16,7 +16,7 @@
 /// Time for which the address or the descriptors are unavailable to the starting process.
 const STARTUP_BLOCK_TIME: Duration = Duration::from_millis(600);
 
-/// Scripts of operators send signals without knowing whether the program has read its configuration yet.
+/// Operators' scripts send signals without knowing whether the program has read its configuration yet.
 #[test]
 fn signals_before_the_configuration_is_read_do_not_end_the_program() {
     let worker = StandInWorker::node_agent();
