--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -56,8 +56,8 @@
     clients.remove(2)
 }
 
-/// Clients disconnect while their requests wait for a connection to be established. Once it is, only the
-/// request of the remaining client is written.
+/// Clients cancel their requests or disconnect while the requests wait for a connection to be established.
+/// Once it is established, only the request of the remaining client is written.
 #[test]
 fn requests_of_disconnected_clients_are_not_written_to_a_new_connection() {
     let worker = FullBacklogWorker::new();
@@ -69,8 +69,8 @@
     scheduler.assert_counters([("attempts_written", 1), ("responses_served", 1)]);
 }
 
-/// Clients disconnect while their requests wait in the policy, before the endpoint list has a worker. Only
-/// the request of the remaining client is placed.
+/// Clients cancel their requests or disconnect while the requests wait in the policy, before the endpoint
+/// list has a worker. Only the request of the remaining client is placed.
 #[test]
 fn requests_of_disconnected_clients_are_not_placed_when_a_worker_becomes_ready() {
     let worker = StandInWorker::node_agent();
--- a/tests/server/frame_frontend.rs
+++ b/tests/server/frame_frontend.rs
@@ -8,7 +8,7 @@
 use crate::support::{IDEMPOTENCY_KEY, IDEMPOTENT_CLASS, KEYED_CLASS, REQUEST_ID, request_id};
 use serde_json::json;
 
-/// Encoding, up to the body, of a request with a body of 256 bytes, as the protocol page defines it.
+/// Encoded request with a body of 256 bytes, without the body itself, as the page PROTOCOL defines it.
 const REQUEST_WITHOUT_BODY: &[&[u8]] = &[
     b"\x00\x00\x01\xaa", // length: 426 bytes follow
     b"\x00",             // type: request
@@ -32,7 +32,7 @@
     let encoded = frame(frame_type::REQUEST, 1, &payload);
     assert_eq!(
         encoded, bytes,
-        "the encoder of the tests differs from the protocol page"
+        "the encoder of the tests differs from the page PROTOCOL"
     );
     for byte in bytes {
         client.send_bytes(&[byte]);
--- a/tests/server/jsonrpc_frontend.rs
+++ b/tests/server/jsonrpc_frontend.rs
@@ -89,8 +89,8 @@
     );
 }
 
-/// A line must be complete within a time limit. An idle connection is closed when a new client needs its
-/// place.
+/// A line must be complete within a time limit. When a new client connects beyond the limit on clients, an
+/// idle connection is closed.
 #[test]
 fn incomplete_line_times_out_and_idle_clients_are_closed_for_new_ones() {
     let worker = StandInWorker::node_agent();
--- a/tests/server/malformed_frames.rs
+++ b/tests/server/malformed_frames.rs
@@ -46,8 +46,8 @@
     assert_eq!(scheduler.counter("panics"), 0);
 }
 
-/// A client that sends nothing, half a frame or an endless frame gets an error or its connection is closed,
-/// so that it occupies neither a descriptor nor a buffer.
+/// The connection of a client that sends nothing, half a frame or an endless frame is closed, so that it
+/// occupies neither a descriptor nor a buffer.
 #[test]
 fn incomplete_and_endless_input_closes_the_connection() {
     let worker = StandInWorker::node_agent();
