--- a/tests/server/jsonrpc_workers.rs
+++ b/tests/server/jsonrpc_workers.rs
@@ -24,7 +24,7 @@
         .start()
 }
 
-/// Duplicate ids and unreadable responses are handled in the same way as with node agents.
+/// Duplicate ids and unreadable responses are handled in the same way as for node agents.
 #[test]
 fn duplicate_id_and_unreadable_response_do_not_affect_other_requests() {
     let folder = TempFolder::new();
@@ -76,7 +76,7 @@
 }
 
 impl ReceivedWhileSilent {
-    /// Stores a request without a response, and responds to a health check or a load.
+    /// Stores a request without responding to it, and responds to a health check or a load order.
     fn handle_command(&mut self, mut command: ReceivedCommand) {
         match command.kind() {
             CommandKind::Run => self.requests.push(command),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Handles commands until a health check, a load and `requests` requests have arrived.
+    /// Handles commands until a health check, a load order and `requests` requests have arrived.
     fn wait_for(&mut self, workers: &[StandInWorker], requests: usize) {
         let start = Instant::now();
         while self.health_checks == 0 || self.loads == 0 || self.requests.len() < requests {
--- a/tests/server/worker_failures.rs
+++ b/tests/server/worker_failures.rs
@@ -1,5 +1,5 @@
 //! Tests of connections to workers that are refused, reset, closed while idle, unreadable or silent, and of
-//! their requests.
+//! the requests on these connections.
 
 use crate::support::deployment::{deploy, deploy_with_settings};
 use crate::support::frame_client::{FrameClient, request, request_to_function, served};
@@ -44,7 +44,8 @@
     }
 }
 
-/// An unreachable worker is silent. Its requests must not wait for their deadlines.
+/// An unreachable worker sends nothing, and its connections stay open. Requests that were sent to it must be
+/// retried before their deadlines.
 #[test]
 fn requests_at_a_silent_worker_are_retried_and_its_late_response_is_ignored() {
     let workers = [StandInWorker::node_agent(), StandInWorker::node_agent()];
