--- a/tests/documentation/operations.rs
+++ b/tests/documentation/operations.rs
@@ -1,7 +1,7 @@
 //! Compares the lists on the operations page with the code: counters, log events, kinds of violation, signals
 //! and limits.
 
-use crate::page::{OPERATIONS_PAGE, all_quoted, listed, quoted, rows, section};
+use crate::page::{OPERATIONS_PAGE, all_quoted, listed_names, quoted, rows, section};
 use crate::source::{Fields, events, read, root, source_files, without_comments};
 use crate::support::scheduler_process::SchedulerProcess;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
     let words = line.split(' ').filter_map(|word| word.split_once('='));
     let printed: BTreeSet<String> = words.map(|(name, _)| name.to_owned()).collect();
     assert!(printed.len() > 1, "{line}");
-    assert_eq!(listed("## Counters"), printed);
+    assert_eq!(listed_names("## Counters"), printed);
 }
 
 #[test]
@@ -63,7 +63,7 @@
         .skip(1)
         .filter_map(|rest| rest.split('"').next());
     let kinds: BTreeSet<String> = kinds.map(str::to_owned).collect();
-    assert_eq!(listed("### Kinds of violation"), kinds);
+    assert_eq!(listed_names("### Kinds of violation"), kinds);
 }
 
 /// Guards against log output that the tests above miss: they read only the calls of `error!`, `warn!`,
@@ -85,7 +85,7 @@
     let is_signal = |word: &&str| word.len() > 3 && word.starts_with("SIG") && *word == word.to_uppercase();
     let handled: BTreeSet<String> = words.filter(is_signal).map(str::to_owned).collect();
     assert!(!handled.is_empty());
-    assert_eq!(listed("## Signals"), handled);
+    assert_eq!(listed_names("## Signals"), handled);
 }
 
 /// Checks that each row names a constant, the file that defines it, and its value in this file.
--- a/tests/documentation/page.rs
+++ b/tests/documentation/page.rs
@@ -36,7 +36,7 @@
 }
 
 /// Returns the names in the first column of a section's tables; panics if a name is listed twice.
-pub(crate) fn listed(heading: &str) -> BTreeSet<String> {
+pub(crate) fn listed_names(heading: &str) -> BTreeSet<String> {
     let page = read(OPERATIONS_PAGE);
     let rows = rows(section(&page, heading));
     let names: Vec<String> = rows.iter().map(|cells| quoted(cells[0]).to_owned()).collect();
