--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,7 +18,7 @@
 }
 
 /// Returns the files that the deploy file lists under `policy`, as written there.
-fn named_files() -> Vec<String> {
+fn listed_files() -> Vec<String> {
     let text = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file is readable");
     let deploy: toml::Table = text.parse().expect("the deploy file is TOML");
     let files = deploy["policy"].as_array().expect("`policy` is a list");
@@ -56,7 +56,7 @@
 /// The operators have lifted the limit on the total number of lines, so there is only a limit for each file.
 #[test]
 fn each_policy_file_is_a_documented_module_of_bounded_size() {
-    let files = named_files();
+    let files = listed_files();
     assert!(!files.is_empty(), "the deploy file lists no file of the policy");
     for file in files {
         let text = read(&file);
@@ -74,7 +74,7 @@
 
 #[test]
 fn no_line_of_a_policy_file_is_too_long() {
-    for file in named_files() {
+    for file in listed_files() {
         for (index, line) in read(&file).lines().enumerate() {
             let columns = line.chars().count();
             assert!(columns <= MAX_COLUMNS, "{file}:{}: {columns} columns", index + 1);
@@ -84,7 +84,7 @@
 
 #[test]
 fn the_deploy_file_names_each_file_of_the_policy_once_and_no_other() {
-    let named = named_files();
+    let named = listed_files();
     let named_paths: BTreeSet<PathBuf> = named.iter().map(PathBuf::from).collect();
     assert_eq!(
         named_paths.len(),
