--- a/tests/config/scheduler_file.rs
+++ b/tests/config/scheduler_file.rs
@@ -17,7 +17,7 @@
     "coldNs":1,"fallMultiple":3,"fallNs":1},"familyInfo":{"keepNs":1,"notLoaded":"load","loadSpanNs":0}}}"#;
 
 /// Parses a valid file.
-fn accepted(file: &Value) -> SchedulerConfig {
+fn parse_valid(file: &Value) -> SchedulerConfig {
     parse_scheduler_config(file.to_string().as_bytes()).unwrap()
 }
 
@@ -54,7 +54,7 @@
 #[test]
 fn the_configuration_has_defaults_and_its_events_are_in_order() {
     let minimal = json!({"listen": "127.0.0.1:1", "settings": minimal_settings()});
-    let config = accepted(&minimal);
+    let config = parse_valid(&minimal);
     assert_eq!(
         (config.name.as_str(), config.seed, config.discovery_service),
         ("", 0, None)
@@ -70,13 +70,13 @@
     for (configured, expected) in [(0.0, 1), (64.9, 64), (1e9, 1_000_000)] {
         let mut limited = minimal.clone();
         limited["limits"] = json!({ "memory_mb": configured });
-        assert_eq!(accepted(&limited).memory_mb, expected, "{configured}");
+        assert_eq!(parse_valid(&limited).memory_mb, expected, "{configured}");
     }
 
     let mut known = minimal;
     let delta = |offset| json!({"offset": offset, "topology": {"all": false}});
     known["known"] = json!({"batch": [delta(9), {"offset": 4, "topology": {"all": true}}, delta(7)]});
-    let events = accepted(&known).known_events;
+    let events = parse_valid(&known).known_events;
     let order: Vec<_> = events.iter().map(|event| (event.offset, event.kind)).collect();
     let expected = [
         (4, EndpointUpdateKind::Snapshot),
