--- a/tests/server/log.rs
+++ b/tests/server/log.rs
@@ -41,7 +41,7 @@
     scheduler.signal("USR1");
     FrameClient::connect(&scheduler).assert_ready();
     scheduler.signal("TERM");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
 }
 
 #[test]
@@ -54,7 +54,7 @@
     client.assert_ready();
     FrameClient::connect(&scheduler).assert_ready();
     scheduler.signal("TERM");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
 }
 
 #[test]
@@ -66,5 +66,5 @@
     }
     client.assert_ready();
     scheduler.signal("TERM");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
 }
--- a/tests/server/shutdown.rs
+++ b/tests/server/shutdown.rs
@@ -36,7 +36,7 @@
     late.expect_served(1, b"x");
     command.succeed("eQ==");
     client.expect_served(1, b"y");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
@@ -62,7 +62,7 @@
     late.expect_body("eA==");
     command.succeed("eQ==");
     client.expect_body("eQ==");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
     assert!(!scheduler.folder.file(SOCKET_NAME).exists());
 }
 
@@ -150,7 +150,7 @@
     shutdown.pending.succeed("bGFzdA==");
     let frames = shutdown.reader.frames_until_close();
     shutdown.assert_all_served(frames);
-    shutdown.scheduler.expect_orderly_exit();
+    shutdown.scheduler.expect_successful_exit();
 }
 
 /// The client reads all responses at once, so that the scheduler can read the requests that were blocked
@@ -174,7 +174,7 @@
         .read_to_end(&mut bytes)
         .expect("the connection is closed without an error");
     shutdown.assert_all_served(decode_frames(&bytes));
-    shutdown.scheduler.expect_orderly_exit();
+    shutdown.scheduler.expect_successful_exit();
 }
 
 /// SIGTERM arrives while the discovery service is unreachable and a request waits for a worker connection to
@@ -206,7 +206,7 @@
     connection.serve(&request_id(2), "eA==");
     client.expect_served(1, b"x");
     assert_eq!(late.next_response(), Some(served(1, b"x")));
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
     assert!(scheduler.wait_for_log("ended").contains(" responses_served=2 "));
 }
 
@@ -270,7 +270,7 @@
     let began_at = Instant::now();
     let frames = client.frames_until_close();
     let ended_at = Instant::now();
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
     assert!(began_at.elapsed() < killed_after, "{:?}", began_at.elapsed());
     let responses = frames
         .iter()
--- a/tests/server/startup.rs
+++ b/tests/server/startup.rs
@@ -58,7 +58,7 @@
     let mut scheduler = Configuration::new(&[]).start_with_stderr(address, Stdio::null());
     scheduler.wait_for_signal_handler(SIGHUP);
     scheduler.signal("TERM");
-    scheduler.expect_orderly_exit();
+    scheduler.expect_successful_exit();
 }
 
 /// Descriptors are briefly unavailable, even for the pipes of the signal handlers.
--- a/tests/support/scheduler_process.rs
+++ b/tests/support/scheduler_process.rs
@@ -227,7 +227,7 @@
 
     /// Waits for the process to exit and asserts that its exit status is success.
     #[track_caller]
-    pub(crate) fn expect_orderly_exit(&mut self) {
+    pub(crate) fn expect_successful_exit(&mut self) {
         assert!(self.wait_for_exit().success());
     }
 
