--- a/tests/policy/endpoint_lease.rs
+++ b/tests/policy/endpoint_lease.rs
@@ -282,8 +282,8 @@
     }
 }
 
-/// Discovery does not publish changes of the workers that the configuration lists, so their leases do not
-/// expire.
+/// Discovery does not publish changes of the workers that the configuration lists, so these
+/// workers need no lease.
 #[test]
 fn a_worker_of_the_configuration_needs_no_lease() {
     let mut harness = harness_with_stale_list(0);
--- a/tests/server/discovery_outage.rs
+++ b/tests/server/discovery_outage.rs
@@ -277,7 +277,7 @@
     client.expect_served(4, b"x");
 }
 
-/// Workers in the operator's file are not published by discovery, so their leases do not expire.
+/// Discovery does not publish changes of the workers in the operator's file, so these workers need no lease.
 #[test]
 fn a_worker_of_the_operators_file_serves_without_discovery() {
     let folder = TempFolder::new();
