--- a/tests/server/client_disconnect.rs
+++ b/tests/server/client_disconnect.rs
@@ -42,10 +42,10 @@
 /// Connects four clients that send one request each. The first cancels its request, the second shuts down the
 /// write half of its connection, and the third closes its connection. Returns the fourth, whose request has
 /// the id 3.
-fn disconnect_three_of_four_clients(scheduler: &SchedulerProcess, timeout_ms: u64) -> FrameClient {
+fn disconnect_three_of_four_clients(scheduler: &SchedulerProcess, allow_ms: u64) -> FrameClient {
     let mut clients: Vec<_> = (0..4).map(|_| FrameClient::connect(scheduler)).collect();
     for (n, client) in (0..).zip(&mut clients) {
-        client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(n), timeout_ms, b""));
+        client.send_request(1, &request(IDEMPOTENT_CLASS, &request_id(n), allow_ms, b""));
         client.assert_ready();
     }
     clients[0].send_cancel(1);
--- a/tests/server/frontend_equivalence.rs
+++ b/tests/server/frontend_equivalence.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    fn timeout_ms(self) -> u64 {
+    fn allow_ms(self) -> u64 {
         if self == Scenario::WorkerSilent { 700 } else { 2900 }
     }
 }
@@ -63,7 +63,7 @@
 struct TestRequest {
     class: &'static str,
     id: String,
-    timeout_ms: u64,
+    allow_ms: u64,
     scenario: Scenario,
 }
 
@@ -85,7 +85,7 @@
         TestRequest {
             class,
             id: request_id(n),
-            timeout_ms: scenario.timeout_ms(),
+            allow_ms: scenario.allow_ms(),
             scenario,
         }
     };
@@ -98,7 +98,7 @@
     let request_without_response = |n: u32| TestRequest {
         class: IDEMPOTENT_CLASS,
         id: request_id(n),
-        timeout_ms: 1500,
+        allow_ms: 1500,
         scenario: Scenario::WorkerSilent,
     };
     (1000..1012).map(request_without_response).collect()
@@ -143,7 +143,7 @@
 impl TestClient for FrameClient {
     fn send_test_request(&mut self, number: u32, request: &TestRequest) {
         let body = request.scenario.body();
-        let payload = frame_client::request(request.class, &request.id, request.timeout_ms, body);
+        let payload = frame_client::request(request.class, &request.id, request.allow_ms, body);
         self.send_request(number, &payload);
     }
 
@@ -156,7 +156,7 @@
     fn send_test_request(&mut self, number: u32, request: &TestRequest) {
         let body = request.scenario.base64_body();
         let id = json!(number);
-        let message = jsonrpc_client::request(&id, request.class, &request.id, request.timeout_ms, body);
+        let message = jsonrpc_client::request(&id, request.class, &request.id, request.allow_ms, body);
         self.send(&message);
     }
 
