--- a/src/backend/connection/health_check.rs
+++ b/src/backend/connection/health_check.rs
@@ -13,7 +13,7 @@
     Responsive,
     /// A health check is waiting for its response.
     Outstanding {
-        /// The health check.
+        /// Health check that waits for its response.
         check: HealthCheckId,
         /// Time at which the health check expires.
         deadline: Time,
--- a/src/backend/worker_command.rs
+++ b/src/backend/worker_command.rs
@@ -15,7 +15,7 @@
 pub(super) enum WorkerCommand {
     /// Start an attempt.
     Send {
-        /// The attempt.
+        /// Attempt to start.
         attempt: AttemptId,
         /// The request that the attempt sends.
         payload: Rc<RequestPayload>,
@@ -24,28 +24,28 @@
     },
     /// Cancel an attempt.
     Cancel {
-        /// The attempt.
+        /// Attempt to cancel.
         attempt: AttemptId,
     },
     /// Load instances of a function.
     Load {
-        /// The load order.
+        /// Load order that the command carries out.
         order: LoadOrderId,
-        /// The function.
+        /// Function to load.
         function: FunctionId,
         /// Minimum number of loaded instances that the worker is to have.
         instances: u8,
     },
     /// Check the worker's health.
     HealthCheck {
-        /// The health check.
+        /// Health check to carry out.
         check: HealthCheckId,
         /// Time by which the response is due.
         deadline: Time,
     },
     /// Unload the idle instances of a function.
     Unload {
-        /// The function.
+        /// Function whose idle instances the worker unloads.
         function: FunctionId,
     },
 }
--- a/src/cluster/request.rs
+++ b/src/cluster/request.rs
@@ -33,7 +33,7 @@
 /// Identifier of an attempt: its request and its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub(crate) request: RequestId,
     /// Number of the attempt within its request, from 0.
     pub(crate) number: u16,
--- a/src/scheduler/command.rs
+++ b/src/scheduler/command.rs
@@ -25,12 +25,12 @@
     Respond {
         /// The connection and stream that the request came from.
         origin: RequestOrigin,
-        /// The response.
+        /// Final response to send to the client.
         response: Response,
     },
     /// Starts an attempt.
     Send {
-        /// The attempt.
+        /// Attempt to start.
         attempt: AttemptId,
         /// The worker that the attempt is sent to.
         worker: WorkerId,
@@ -41,36 +41,36 @@
     },
     /// Cancels an attempt.
     Cancel {
-        /// The attempt.
+        /// Attempt to cancel.
         attempt: AttemptId,
         /// The worker that the attempt was sent to.
         worker: WorkerId,
     },
     /// Orders a worker to load a function.
     Load {
-        /// The load order.
+        /// Load order that the command carries out.
         order: LoadOrderId,
-        /// The worker.
+        /// Worker that receives the load order.
         worker: WorkerId,
-        /// The function.
+        /// Function to load.
         function: FunctionId,
         /// Minimum number of loaded instances; 0 only queries how many are loaded.
         instances: u8,
     },
     /// Checks whether a worker is alive.
     HealthCheck {
-        /// The health check.
+        /// Health check to carry out.
         check: HealthCheckId,
-        /// The worker.
+        /// Worker to check.
         worker: WorkerId,
         /// When the command times out.
         deadline: Time,
     },
     /// Orders a worker to unload a function's idle instances.
     Unload {
-        /// The worker.
+        /// Worker that unloads the instances.
         worker: WorkerId,
-        /// The function.
+        /// Function whose idle instances are unloaded.
         function: FunctionId,
     },
 }
--- a/src/scheduler/health_check_table.rs
+++ b/src/scheduler/health_check_table.rs
@@ -11,7 +11,7 @@
 /// A health check that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthCheck {
-    /// The checked worker.
+    /// Worker that is checked.
     pub(super) worker: WorkerId,
     /// When the health check times out.
     pub(super) deadline: Time,
--- a/src/scheduler/ids.rs
+++ b/src/scheduler/ids.rs
@@ -14,7 +14,7 @@
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
     /// The number of the attempt among the request's attempts, from 0.
     pub number: u16,
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -24,7 +24,7 @@
     pub load_time: Option<Span>,
     /// When the client stops waiting.
     pub deadline: Time,
-    /// The request body.
+    /// Request body, which workers receive unchanged.
     pub body: Vec<u8>,
 }
 
@@ -67,7 +67,7 @@
     pub function: FunctionId,
     /// Idempotency key, for keyed classes only.
     pub key: Option<String>,
-    /// The request body.
+    /// Request body for the worker.
     pub body: Vec<u8>,
 }
 
