--- a/src/model/actions.rs
+++ b/src/model/actions.rs
@@ -20,23 +20,23 @@
     /// Sends an attempt to a worker. The attempts of a request are numbered from 0 in the order of these
     /// actions.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
-        /// The worker.
+        /// Worker that receives the attempt.
         worker: WorkerId,
         /// Time limit of the attempt.
         timeout: Span,
     },
     /// Cancels an attempt.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         id: RequestId,
         /// Number of the attempt within its request.
         attempt: u16,
     },
     /// Sends the final response that the request is rejected and may safely be retried.
     Reject {
-        /// The request.
+        /// Request to reject.
         id: RequestId,
         /// How long the client should wait before it retries; zero gives no advice.
         retry_after: Span,
@@ -45,28 +45,28 @@
     },
     /// Sends the final response that the request failed and may have run.
     Fail {
-        /// The request.
+        /// Request that failed.
         id: RequestId,
     },
     /// Orders a worker to hold at least `instances` loaded instances of a function.
     Load {
-        /// The worker.
+        /// Worker that receives the load order.
         worker: WorkerId,
-        /// The function.
+        /// Function to load.
         function: FunctionId,
         /// Number of instances.
         instances: u8,
     },
     /// Orders a worker to unload the idle instances of a function.
     Unload {
-        /// The worker.
+        /// Worker that unloads the instances.
         worker: WorkerId,
-        /// The function.
+        /// Function whose idle instances are unloaded.
         function: FunctionId,
     },
     /// Checks whether a worker is alive.
     HealthCheck {
-        /// The worker.
+        /// Worker to check.
         worker: WorkerId,
     },
     /// Requests an [`Event::TimerFired`](super::Event::TimerFired) after a delay.
--- a/src/model/endpoints.rs
+++ b/src/model/endpoints.rs
@@ -27,7 +27,7 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Endpoint {
-    /// The worker.
+    /// Worker that the entry describes.
     pub worker: WorkerId,
     /// Zone of the worker.
     pub zone: ZoneId,
@@ -61,7 +61,7 @@
 pub enum EndpointUpdateKind {
     /// Only the changed entries.
     Delta,
-    /// The complete list.
+    /// The complete and current list.
     Snapshot,
     /// The complete list from the cache of the discovery service, which may be outdated.
     CachedSnapshot,
--- a/src/model/events.rs
+++ b/src/model/events.rs
@@ -46,7 +46,7 @@
     LoadFinished(LoadOutcome),
     /// A health check has ended.
     HealthCheckFinished {
-        /// The checked worker.
+        /// Worker that was checked.
         worker: WorkerId,
         /// Result of the check.
         status: HealthCheckStatus,
--- a/src/model/outcomes.rs
+++ b/src/model/outcomes.rs
@@ -99,14 +99,14 @@
     LoadStarted,
     /// The request waited for a load that had already been started.
     LoadAwaited,
-    /// The load failed.
+    /// The instance could not be loaded.
     LoadFailed,
 }
 
 /// The outcome of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub id: RequestId,
     /// Number of the attempt within its request, from 0.
     pub attempt: u16,
@@ -129,9 +129,9 @@
 /// The outcome of a load order.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadOutcome {
-    /// The worker.
+    /// Worker that received the load order.
     pub worker: WorkerId,
-    /// The function.
+    /// Function that the load order was for.
     pub function: FunctionId,
     /// Number of instances that are now loaded on the worker; 0 if there was no response.
     pub instances: u32,
--- a/src/policy/endpoint_lease.rs
+++ b/src/policy/endpoint_lease.rs
@@ -54,7 +54,7 @@
 /// A ready worker whose lease has expired while the endpoint list is stale.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExpiredLease {
-    /// The worker.
+    /// Worker whose lease has expired.
     pub worker: WorkerId,
     /// Time since the last accepted attempt was sent, or `None` if the worker has not accepted any.
     pub accepted_ago: Option<Span>,
