--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -64,9 +64,9 @@
     /// A value is not one of those defined for its key.
     #[error("{key} is '{value}'")]
     UnknownValue {
-        /// The key.
+        /// Path of the key that has the value.
         key: String,
-        /// The unknown value.
+        /// Value as it was read.
         value: String,
     },
     /// A key that the value of another key requires is missing.
@@ -74,13 +74,13 @@
     MissingKey {
         /// Path of the object that lacks the key.
         parent: String,
-        /// The missing key.
+        /// Name of the missing key in that object.
         key: &'static str,
     },
     /// A number is outside the range that is valid for its key.
     #[error("{key} is not between {min} and {max}")]
     OutOfRange {
-        /// The key.
+        /// Path of the key that has the number.
         key: &'static str,
         /// Smallest valid value.
         min: usize,
@@ -90,27 +90,27 @@
     /// A numeric parameter of the virtual router is outside its range (RFC 9568, section 5.2).
     #[error("vrrp.vrid, priority and interval_cs start from 1")]
     VirtualRouterOutOfRange {
-        /// The key.
+        /// Path of the key that has the parameter.
         key: &'static str,
     },
     /// An address for sending or receiving VRRP advertisements is not a loopback address.
     #[error("vrrp.bind and peers are loopback addresses")]
     NotLoopback {
-        /// The key.
+        /// Path of the key that has the address.
         key: &'static str,
-        /// The address.
+        /// Address that is not a loopback address.
         address: SocketAddr,
     },
     /// The id of a JSON-RPC worker is not `s-` followed by 8 hexadecimal digits.
     #[error("checkers.id '{id}' is not 's-' and 8 hexadecimal digits")]
     InvalidJsonRpcWorkerId {
-        /// The id.
+        /// Id as it was read.
         id: String,
     },
     /// Two JSON-RPC workers have the same id.
     #[error("checkers.id '{id}' is given twice")]
     DuplicateJsonRpcWorkerId {
-        /// The id.
+        /// Id that occurs twice.
         id: String,
     },
 }
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -25,7 +25,7 @@
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// The system error.
+        /// System error that prevented the binding.
         source: io::Error,
     },
     /// The Unix socket of the JSON-RPC frontend cannot be bound.
@@ -41,7 +41,7 @@
     VrrpSocket {
         /// The configured address.
         address: SocketAddr,
-        /// The system error.
+        /// System error that prevented the binding.
         source: io::Error,
     },
     /// Waiting for events failed.
