--- a/src/discovery/watch_connection.rs
+++ b/src/discovery/watch_connection.rs
@@ -19,7 +19,7 @@
 pub(crate) struct StatusChange {
     /// Time of the change, or the earliest time at which it may have happened.
     pub(crate) at: Time,
-    /// The new status.
+    /// Status that the watch has from then on.
     pub(crate) status: WatchStatus,
 }
 
--- a/src/frontend/frame_codec/mod.rs
+++ b/src/frontend/frame_codec/mod.rs
@@ -86,7 +86,7 @@
     pub(super) length: usize,
     /// The frame's type; `None` for an unknown type number.
     pub(super) frame_type: Option<FrameType>,
-    /// The frame's stream.
+    /// Number of the stream that the frame belongs to.
     pub(super) stream: u32,
 }
 
@@ -113,7 +113,7 @@
 pub struct Frame<'a> {
     /// The frame's type; `None` for an unknown type number.
     pub frame_type: Option<FrameType>,
-    /// The frame's stream.
+    /// Number of the stream that the frame belongs to.
     pub stream: u32,
     /// The bytes after the header.
     pub payload: &'a [u8],
--- a/src/frontend/jsonrpc_codec/request.rs
+++ b/src/frontend/jsonrpc_codec/request.rs
@@ -40,7 +40,7 @@
     },
     /// A notification that the client no longer waits for a call.
     Cancel {
-        /// The id of the call.
+        /// The id of the call to cancel.
         call: Value,
     },
     /// A question whether the scheduler is ready.
@@ -83,7 +83,7 @@
     pub concurrency: f64,
     /// The typical time to load the function, if known.
     pub load_time: Option<Span>,
-    /// The request body.
+    /// The request body, decoded from base64; empty if the call has none.
     pub body: Vec<u8>,
 }
 
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -75,7 +75,7 @@
 pub struct Context<'a, S> {
     /// The state that all connections share.
     pub shared: &'a mut S,
-    /// The current time.
+    /// Time at which the reactor calls the callback.
     pub now: Time,
     /// Earliest time at which the input that this callback handles may have arrived. The timeout of a
     /// request counts from it. It is before `now` if the process was busy or stopped, or if the client had to
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -12,7 +12,7 @@
 
 /// The state that all connections share.
 pub struct RuntimeState {
-    /// The scheduler.
+    /// Scheduler that handles the requests of all connections.
     pub scheduler: Scheduler,
     /// Whether the scheduler accepts requests.
     pub ready: bool,
--- a/src/simulator_codec/error.rs
+++ b/src/simulator_codec/error.rs
@@ -48,7 +48,7 @@
     /// A record extends beyond the end of the batch according to its length.
     #[error("{record}: length {length} exceeds the batch")]
     InvalidRecordLength {
-        /// The record.
+        /// Record that has the invalid length.
         record: RecordLocation,
         /// The length as received.
         length: usize,
@@ -56,7 +56,7 @@
     /// A record ends inside one of its fields.
     #[error("{record}: field of {field_length} bytes at offset {offset} exceeds the length {available}")]
     RecordCutShort {
-        /// The record.
+        /// Record that is cut short.
         record: RecordLocation,
         /// Length of the field in bytes.
         field_length: usize,
@@ -68,7 +68,7 @@
     /// A field contains a code that the protocol does not define.
     #[error("{record}: unknown {field} {code} at offset {offset}")]
     UnknownCode {
-        /// The record.
+        /// Record that contains the field.
         record: RecordLocation,
         /// Name of the field.
         field: &'static str,
--- a/src/simulator_codec/records.rs
+++ b/src/simulator_codec/records.rs
@@ -15,7 +15,7 @@
 pub enum Record {
     /// A scheduler instance starts with an empty state.
     OpenInstance {
-        /// The instance.
+        /// Instance that starts.
         instance: InstanceId,
         /// Seed of the instance's random number generator.
         seed: u64,
@@ -24,7 +24,7 @@
     },
     /// An instance was killed, and its state is discarded.
     CloseInstance {
-        /// The instance.
+        /// Instance that was killed.
         instance: InstanceId,
     },
     /// An endpoint list to which later updates of any instance refer.
@@ -38,7 +38,7 @@
     },
     /// Discovery reports an endpoint update, or a failed call, to an instance.
     EndpointUpdate {
-        /// The instance.
+        /// Instance that receives the update.
         instance: InstanceId,
         /// Whether the list is a delta or a snapshot, or the call failed.
         kind: EndpointUpdateKind,
@@ -47,9 +47,9 @@
     },
     /// Any other event for an instance.
     Event {
-        /// The instance.
+        /// Instance that receives the event.
         instance: InstanceId,
-        /// The event.
+        /// Event that the instance handles.
         event: Event,
     },
     /// A record of an unknown kind, or of a kind that the scheduler does not use.
