--- a/src/server/shutdown_phases.rs
+++ b/src/server/shutdown_phases.rs
@@ -7,7 +7,7 @@
 use crate::model::{Span, Time};
 
 /// Delay from the start of the shutdown until clients are notified again, for those that have connected
-/// since. Requests that arrive later must be answered even if the process is about to be killed (page
+/// since. Requests that arrive later must get a response even if the process is about to be killed (page
 /// PROTOCOL).
 const SECOND_NOTICE_DELAY: Span = Span::from_millis(700);
 /// Time from the start of the shutdown during which clients may still connect. The process does not exit
@@ -24,7 +24,7 @@
 /// Maximum time for writing the remaining responses once no request is open.
 const FLUSH_TIMEOUT: Span = Span::from_millis(500);
 
-/// A phase of a shutdown. Requests are answered in every phase.
+/// A phase of a shutdown. Requests get responses in every phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownPhase {
     /// Clients that are not aware of the shutdown still connect, and their requests are served.
