--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -74,7 +74,7 @@
     MissingKey {
         /// Path of the object that lacks the key.
         parent: String,
-        /// Name of the missing key in that object.
+        /// Name of the missing key, without its path.
         key: &'static str,
     },
     /// A number is outside the range that is valid for its key.
