--- a/src/backend/connection/health_check.rs
+++ b/src/backend/connection/health_check.rs
@@ -13,7 +13,7 @@
     Responsive,
     /// A health check is waiting for its response.
     Outstanding {
-        /// Health check that waits for its response.
+        /// Id by which the result of the health check is reported.
         check: HealthCheckId,
         /// Time at which the health check expires.
         deadline: Time,
