--- a/src/simulator_codec/mod.rs
+++ b/src/simulator_codec/mod.rs
@@ -1,8 +1,9 @@
-//! Codec of the simulator's pipe: batches of event records in, one reply of action records per batch out.
+//! Codec of the simulator's pipe protocol: decodes batches of event records and encodes one reply of action
+//! records per batch.
 //!
-//! The format is that of the page `WIRE-dykecove.md`. Everything is big-endian and without padding. A record
-//! is a code of one byte, the length of its fields in four bytes, and the fields back to back. Names of the
-//! page are used in this module only; the adapter around it uses the types of the library's model.
+//! The page `WIRE-dykecove.md` defines the format. All numbers are big-endian and there is no padding. A
+//! record consists of a one-byte code, the length of its fields in four bytes, and the fields back to back.
+//! Only this module uses the record names of that page; its callers use the types of the library's model.
 
 mod batch;
 mod codes;
